--- a/adapters/src/peer_decoder.cpp
+++ b/adapters/src/peer_decoder.cpp
@@ -195,14 +195,14 @@
         return true;
     }
 
-    static bool take(const wire::MirrorNews& table, mirror_news& message)
+    static bool take(const wire::MirrorNews& table, mirror_update& message)
     {
         message.nonce = table.nonce();
         message.as_of = table.left_out() == 0 ? table.as_of() : table.until();
-        message.whole = table.whole();
+        message.complete = table.whole();
         message.after = table.after();
         message.age = decision::duration(table.age_us());
-        message.left_out = table.left_out();
+        message.first_omitted = table.left_out();
         return take_all(table.entries(), message.entries);
     }
 
@@ -236,7 +236,7 @@
         case wire::Body::MirrorPull:
             return take_body<mirror_pull>(frame.body_as_MirrorPull(), message);
         case wire::Body::MirrorNews:
-            return take_body<mirror_news>(frame.body_as_MirrorNews(), message);
+            return take_body<mirror_update>(frame.body_as_MirrorNews(), message);
         case wire::Body::NONE:
             break;
         }
--- a/adapters/src/peer_encoder.cpp
+++ b/adapters/src/peer_encoder.cpp
@@ -166,13 +166,14 @@
         return wire::CreateStoreEntry(this->out, key, value, item.revision);
     }
 
-    offset<wire::MirrorNews> put(const mirror_news& message)
+    offset<wire::MirrorNews> put(const mirror_update& message)
     {
         const auto entries = this->put_all<wire::StoreEntry>(message.entries);
-        const auto as_of = message.left_out == 0 ? message.as_of : message.left_out - 1;
-        const auto until = message.left_out == 0 ? 0 : message.as_of;
-        return wire::CreateMirrorNews(this->out, message.nonce, as_of, message.whole, entries,
-                                      message.after, message.age.count(), message.left_out, until);
+        const auto as_of = message.first_omitted == 0 ? message.as_of : message.first_omitted - 1;
+        const auto until = message.first_omitted == 0 ? 0 : message.as_of;
+        return wire::CreateMirrorNews(this->out, message.nonce, as_of, message.complete, entries,
+                                      message.after, message.age.count(), message.first_omitted,
+                                      until);
     }
 
     // The offset's own type names the union's member.
--- a/adapters/test/peer_message_generators.hpp
+++ b/adapters/test/peer_message_generators.hpp
@@ -40,7 +40,7 @@
         case 8:
             return mirror_pull{number(), number(), number() % 2 == 0};
         case 9:
-            return mirror_news{
+            return mirror_update{
                 number(), number(), number() % 2 == 0, some(&message_source::one_entry),
                 number(), time(),   number()};
         default:
--- a/coordination/include/pearhaven/coordination/config_replica.hpp
+++ b/coordination/include/pearhaven/coordination/config_replica.hpp
@@ -30,7 +30,7 @@
     decision::duration pull_period = std::chrono::seconds{1};
     decision::duration pull_expiry = std::chrono::seconds{10}; // a later answer is not looked at
     // A read that is unanswered for this long counts as a store that cannot be reached, so far.
-    decision::duration store_patience = std::chrono::milliseconds{400};
+    decision::duration store_timeout = std::chrono::milliseconds{400};
     decision::duration first_retry = std::chrono::milliseconds{500};
     decision::duration longest_retry = std::chrono::seconds{4};
     std::size_t outage_pulls = 16;    // peers asked in a period while the store may be out
@@ -49,7 +49,7 @@
 };
 
 // This configuration is now in force on this router.
-struct config_in_force {
+struct config_applied {
     config_state_ptr state;
 };
 
@@ -89,7 +89,7 @@
 // head that cannot be read confirms nothing, and is no outage: new work stops after the bound.
 class config_replica {
 public:
-    using action = std::variant<store_call, send_message, config_in_force, unreadable_value>;
+    using action = std::variant<store_call, send_message, config_applied, unreadable_value>;
 
     // The codec must outlive the replica.
     config_replica(config_replica_settings settings, const config_head_codec& codec,
--- a/coordination/include/pearhaven/coordination/fact_table.hpp
+++ b/coordination/include/pearhaven/coordination/fact_table.hpp
@@ -34,10 +34,10 @@
 };
 
 // The fact's time is over, or it had to make room.
-struct fact_forgotten {
+struct fact_removed {
     fact forgotten;
 
-    friend bool operator==(const fact_forgotten&, const fact_forgotten&) = default;
+    friend bool operator==(const fact_removed&, const fact_removed&) = default;
 };
 
 // Small statements that every router should soon know: spread by gossip, kept for a time, in
@@ -49,7 +49,7 @@
 // it has left, so that it dies out everywhere. An author that wants it kept publishes it again.
 class fact_table {
 public:
-    using action = std::variant<send_message, fact_learned, fact_forgotten>;
+    using action = std::variant<send_message, fact_learned, fact_removed>;
 
     explicit fact_table(fact_table_settings settings);
 
--- a/coordination/include/pearhaven/coordination/key_value.hpp
+++ b/coordination/include/pearhaven/coordination/key_value.hpp
@@ -32,7 +32,7 @@
 
 struct kv_range {
     std::string prefix;
-    bool may_be_old = false; // by some seconds, where the service tells that more cheaply
+    bool allow_stale = false; // by some seconds, where the service tells that more cheaply
     friend bool operator==(const kv_range&, const kv_range&) = default;
 };
 
--- a/coordination/include/pearhaven/coordination/peer_exchange.hpp
+++ b/coordination/include/pearhaven/coordination/peer_exchange.hpp
@@ -37,10 +37,10 @@
 
     // Peers that hear of own loads, those in the zone first. It bounds what a large fleet sends;
     // most requests stay in their zone.
-    std::size_t most_told = decision::told_usually;
+    std::size_t max_load_recipients = decision::told_usually;
 
     // Peers that hear of what this router holds at an endpoint that many fill together.
-    std::size_t most_told_when_filling = decision::told_when_filling;
+    std::size_t max_filling_recipients = decision::told_when_filling;
 
     // Time between two questions to peers while the store does not answer this router.
     decision::duration pull_period = std::chrono::milliseconds{300};
@@ -54,12 +54,12 @@
 };
 
 // How far this router has followed the store.
-struct mirror_standing {
-    bool in_touch = false; // the store answers it
+struct mirror_status {
+    bool synchronized = false; // the store answers it
     store_revision revision = 0;
     bool lacks_large = false; // it knows of values that it was not told for their size
 
-    friend bool operator==(const mirror_standing&, const mirror_standing&) = default;
+    friend bool operator==(const mirror_status&, const mirror_status&) = default;
 };
 
 // A message to a router.
@@ -83,14 +83,14 @@
 
     // `filling`: the part of the own load that is held at endpoints that many fill together.
     [[nodiscard]] std::vector<peer_send>
-    on_tick(const std::vector<decision::endpoint_load>& own, const mirror_standing& mirror,
+    on_tick(const std::vector<decision::endpoint_load>& own, const mirror_status& mirror,
             decision::instant now, const std::vector<decision::endpoint_load>& filling = {});
 
     // The peers of this router's zone.
-    [[nodiscard]] std::vector<peer_router> near() const;
+    [[nodiscard]] std::vector<peer_router> zone_peers() const;
 
     // Whether the news answers an open question. One answer to each is taken.
-    [[nodiscard]] bool takes(const mirror_news& news);
+    [[nodiscard]] bool accepts_answer(const mirror_update& news);
 
     [[nodiscard]] std::size_t size() const { return this->peers.size(); }
 
@@ -108,7 +108,7 @@
                    decision::instant now);
     void add_filling(const std::vector<decision::endpoint_load>& filling,
                      std::vector<peer_send>& sends, decision::instant now);
-    void add_pulls(const mirror_standing& mirror, std::vector<peer_send>& sends,
+    void add_pulls(const mirror_status& mirror, std::vector<peer_send>& sends,
                    decision::instant now);
     [[nodiscard]] peer_send ask(store_revision after, bool large);
     void forget_large_questions();
--- a/coordination/include/pearhaven/coordination/peer_message.hpp
+++ b/coordination/include/pearhaven/coordination/peer_message.hpp
@@ -172,20 +172,20 @@
 
 // The sender's mirror of the store, as of the revision: all of it, or what has changed after an
 // earlier one. A key that was removed has an empty value.
-struct mirror_news {
+struct mirror_update {
     std::uint64_t nonce = 0; // of the question that it answers; 0 where nobody had to ask
     store_revision as_of = 0;
-    bool whole = false;
+    bool complete = false;
     std::vector<kv_entry> entries;
-    store_revision after = 0;    // what is not whole is of use only up from there
-    decision::duration age{};    // since the store said so
-    store_revision left_out = 0; // lowest one of which the value is not told; 0 for none
-    friend bool operator==(const mirror_news&, const mirror_news&) = default;
+    store_revision after = 0;         // what is not whole is of use only up from there
+    decision::duration age{};         // since the store said so
+    store_revision first_omitted = 0; // lowest one of which the value is not told; 0 for none
+    friend bool operator==(const mirror_update&, const mirror_update&) = default;
 };
 
 using peer_message =
     std::variant<probe, probe_reply, config_pull, config_update, bill_copy, bill_copy_ack,
-                 bill_copy_drop, fact_push, load_push, mirror_pull, mirror_news>;
+                 bill_copy_drop, fact_push, load_push, mirror_pull, mirror_update>;
 
 } // namespace pearhaven::coordination
 
--- a/coordination/include/pearhaven/coordination/prefix_mirror.hpp
+++ b/coordination/include/pearhaven/coordination/prefix_mirror.hpp
@@ -29,14 +29,14 @@
     // Pause after a watch that brought changes. Endpoints that start together write one after the
     // other; without it each write costs every router a call. It adds to the time in which a change
     // is heard of, of which the strictest bound is two seconds.
-    decision::duration gather_time = std::chrono::milliseconds{150};
+    decision::duration change_batch_delay = std::chrono::milliseconds{150};
 
     // The same where others go by what this router hears.
-    decision::duration shared_gather_time = std::chrono::milliseconds{150};
+    decision::duration shared_change_batch_delay = std::chrono::milliseconds{150};
 
     // Whether the first list may be some seconds old, which costs the store less. The watch that
     // follows brings what it lacks.
-    bool first_list_may_be_old = false;
+    bool allow_stale_first_list = false;
     decision::duration first_retry = std::chrono::milliseconds{50}; // doubles with each failure
     decision::duration longest_retry = std::chrono::milliseconds{500};
 
@@ -76,7 +76,7 @@
 
 // The news without their largest values, for many that hear them at once from one router: these
 // would share its link with its callers. A listener asks the store for what is left out.
-[[nodiscard]] mirror_news without_large_values(mirror_news news);
+[[nodiscard]] mirror_update without_large_values(mirror_update news);
 
 // Follows all keys under one prefix: a list, then watches from the list's revision, and a list
 // again where the store no longer holds the history that a watch needs. The revision of a key never
@@ -94,20 +94,20 @@
 
     // What this mirror can tell one that has followed the store up to the revision; nothing while
     // it does not follow the store itself.
-    [[nodiscard]] std::optional<mirror_news> news_after(store_revision after) const;
+    [[nodiscard]] std::optional<mirror_update> updates_after(store_revision after) const;
 
     // Another router's mirror tells what it holds. The store may turn some routers away while it
     // serves the others and the operator: these would keep what is no longer in force, for as long
     // as that lasts. Revisions make it safe to hear of a change from anybody, in any order. What
     // the news leave out this mirror asks the store for, whether it follows others or not.
-    void on_told(const mirror_news& news);
+    void on_peer_update(const mirror_update& news);
 
     // The store has served another router at that time, as that one says. It was not away then, for
     // whoever keeps keys alive there.
-    void on_others_served(decision::instant at);
+    void on_peer_served_by_store(decision::instant at);
 
     // Whether others have told of changes without what changed, and the store has yet to say it.
-    [[nodiscard]] bool has_to_ask() const { return this->watched < this->told_of; }
+    [[nodiscard]] bool must_read_store() const { return this->watched < this->told_of; }
 
     // Whether this mirror watches the store. One that follows others makes no calls once it has
     // listed, and goes on from where they have brought it when it has to watch again.
@@ -120,7 +120,7 @@
     void restart(decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
 
-    [[nodiscard]] bool is_in_touch() const { return this->failures == 0 && this->has_list; }
+    [[nodiscard]] bool is_synchronized() const { return this->failures == 0 && this->has_list; }
     [[nodiscard]] const std::map<std::string, kv_entry>& entries() const { return this->known; }
 
     // Everything up to it has been heard of.
@@ -140,7 +140,7 @@
                                                         store_revision as_of) const;
     void note_removal(const std::string& key, store_revision revision);
     void note_change(const std::string& key, store_revision revision);
-    void go_on_to(const mirror_news& news);
+    void go_on_to(const mirror_update& news);
     void drop_false_word();
     [[nodiscard]] store_revision told_until() const;
     [[nodiscard]] bool has_served_others(decision::instant now) const;
@@ -173,7 +173,7 @@
     std::optional<call_tag> open_call;
     call_tag next_tag = 1;
     std::uint32_t failures = 0;
-    watch_mode mode = watch_mode::alone;
+    watch_mode mode = watch_mode::independent;
     decision::instant confirmed;
     decision::instant due;
     std::optional<decision::instant> regained_at; // after a loss
--- a/coordination/src/config_replica.cpp
+++ b/coordination/src/config_replica.cpp
@@ -109,7 +109,7 @@
     }
     return std::any_of(this->reads.begin(), this->reads.end(), [&](const auto& entry) {
         const pending_read& read = entry.second;
-        return now - read.start > read.wait + this->settings.store_patience;
+        return now - read.start > read.wait + this->settings.store_timeout;
     });
 }
 
@@ -311,7 +311,7 @@
     }
     this->state = std::move(newer);
     this->remember(changes);
-    this->actions.emplace_back(config_in_force{this->state});
+    this->actions.emplace_back(config_applied{this->state});
 }
 
 // Keeps what peers that are a little behind will ask for.
--- a/coordination/src/fact_table.cpp
+++ b/coordination/src/fact_table.cpp
@@ -133,7 +133,7 @@
     const auto soonest = std::min_element(
         this->facts.begin(), this->facts.end(),
         [](const auto& left, const auto& right) { return left.second.end < right.second.end; });
-    this->actions.emplace_back(fact_forgotten{soonest->second.stated});
+    this->actions.emplace_back(fact_removed{soonest->second.stated});
     this->facts.erase(soonest);
 }
 
@@ -144,7 +144,7 @@
             ++next;
             continue;
         }
-        this->actions.emplace_back(fact_forgotten{next->second.stated});
+        this->actions.emplace_back(fact_removed{next->second.stated});
         next = this->facts.erase(next);
     }
 }
--- a/coordination/src/peer_exchange.cpp
+++ b/coordination/src/peer_exchange.cpp
@@ -16,7 +16,7 @@
 }
 
 std::vector<peer_send> peer_exchange::on_tick(const std::vector<decision::endpoint_load>& own,
-                                              const mirror_standing& mirror, decision::instant now,
+                                              const mirror_status& mirror, decision::instant now,
                                               const std::vector<decision::endpoint_load>& filling)
 {
     std::vector<peer_send> sends;
@@ -25,7 +25,7 @@
     }
     this->add_loads(own, sends, now);
     this->add_filling(filling, sends, now);
-    if (mirror.in_touch) {
+    if (mirror.synchronized) {
         this->open_question.reset();
         this->forget_large_questions();
     } else {
@@ -69,7 +69,7 @@
         return;
     }
     this->told = {own, now};
-    for (const auto* listener : this->listeners(this->settings.most_told)) {
+    for (const auto* listener : this->listeners(this->settings.max_load_recipients)) {
         sends.push_back({*listener, load_push{own}});
     }
 }
@@ -83,14 +83,14 @@
         return;
     }
     this->told_of_filling = {filling, now};
-    const auto all = this->listeners(this->settings.most_told_when_filling);
-    for (std::size_t i = this->settings.most_told; i < all.size(); ++i) {
+    const auto all = this->listeners(this->settings.max_filling_recipients);
+    for (std::size_t i = this->settings.max_load_recipients; i < all.size(); ++i) {
         sends.push_back({*all[i], load_push{filling}});
     }
 }
 
 // Small changes are asked for often, and not held up by a large value that is on its way.
-void peer_exchange::add_pulls(const mirror_standing& mirror, std::vector<peer_send>& sends,
+void peer_exchange::add_pulls(const mirror_status& mirror, std::vector<peer_send>& sends,
                               decision::instant now)
 {
     if (now >= this->next_pull) {
@@ -117,7 +117,7 @@
     return {asked->second, mirror_pull{this->questions, after, large}};
 }
 
-std::vector<peer_router> peer_exchange::near() const
+std::vector<peer_router> peer_exchange::zone_peers() const
 {
     std::vector<peer_router> found;
     for (const auto& [name, where] : this->peers) {
@@ -128,7 +128,7 @@
     return found;
 }
 
-bool peer_exchange::takes(const mirror_news& news)
+bool peer_exchange::accepts_answer(const mirror_update& news)
 {
     if (this->open_question == news.nonce) {
         this->open_question.reset();
--- a/coordination/src/prefix_mirror.cpp
+++ b/coordination/src/prefix_mirror.cpp
@@ -23,13 +23,13 @@
 
 } // namespace
 
-mirror_news without_large_values(mirror_news news)
+mirror_update without_large_values(mirror_update news)
 {
-    if (news.whole) {
+    if (news.complete) {
         // All that is held is large, and a listener takes what a whole list lacks for removed.
-        news.whole = false;
+        news.complete = false;
         news.entries.clear();
-        news.left_out = news.after + 1;
+        news.first_omitted = news.after + 1;
         return news;
     }
     auto& entries = news.entries;
@@ -37,14 +37,16 @@
         return left.value.size() < right.value.size();
     });
     std::size_t told = 0;
-    const auto first_left_out = std::find_if(entries.begin(), entries.end(), [&told](auto& entry) {
-        told += entry.value.size();
-        return told > most_told_to_many;
-    });
-    for (auto at = first_left_out; at != entries.end(); ++at) {
-        news.left_out = news.left_out == 0 ? at->revision : std::min(news.left_out, at->revision);
-    }
-    entries.erase(first_left_out, entries.end());
+    const auto first_omitted_entry =
+        std::find_if(entries.begin(), entries.end(), [&told](auto& entry) {
+            told += entry.value.size();
+            return told > most_told_to_many;
+        });
+    for (auto at = first_omitted_entry; at != entries.end(); ++at) {
+        news.first_omitted =
+            news.first_omitted == 0 ? at->revision : std::min(news.first_omitted, at->revision);
+    }
+    entries.erase(first_omitted_entry, entries.end());
     return news;
 }
 
@@ -64,11 +66,12 @@
         return;
     }
     if (this->needs_list) {
-        const bool may_be_old = this->settings.first_list_may_be_old && !this->has_asked;
+        const bool allow_stale = this->settings.allow_stale_first_list && !this->has_asked;
         this->has_asked = true;
-        this->call(kv_range{this->settings.prefix, may_be_old});
-    } else if (this->mode != watch_mode::follows || this->has_to_ask() || this->failures > 0) {
-        const bool shares = this->mode != watch_mode::alone;
+        this->call(kv_range{this->settings.prefix, allow_stale});
+    } else if (this->mode != watch_mode::follower || this->must_read_store() ||
+               this->failures > 0) {
+        const bool shares = this->mode != watch_mode::independent;
         const auto wait = shares ? this->settings.shared_watch_wait : this->settings.watch_wait;
         this->call(kv_watch{this->settings.prefix, this->watched, wait});
     }
@@ -95,8 +98,9 @@
         const bool brought = !this->needs_list && !reply.entries.empty();
         this->needs_list ? this->on_list(reply, now) : this->on_watch(reply, now);
         this->drop_false_word();
-        const auto gather = this->mode == watch_mode::for_others ? this->settings.shared_gather_time
-                                                                 : this->settings.gather_time;
+        const auto gather = this->mode == watch_mode::watcher
+                                ? this->settings.shared_change_batch_delay
+                                : this->settings.change_batch_delay;
         this->due = brought ? now + gather : now;
     } else if (reply.outcome == kv_outcome::not_found && !this->needs_list) {
         // The history has been dropped: only a list tells what has changed.
@@ -142,7 +146,7 @@
     }
 }
 
-void prefix_mirror::on_others_served(decision::instant at)
+void prefix_mirror::on_peer_served_by_store(decision::instant at)
 {
     if (at - this->served_others_at > this->settings.lapse_grace) {
         this->served_others_since = at;
@@ -234,16 +238,16 @@
     return until;
 }
 
-std::optional<mirror_news> prefix_mirror::news_after(store_revision after) const
+std::optional<mirror_update> prefix_mirror::updates_after(store_revision after) const
 {
-    if (!this->is_in_touch()) {
+    if (!this->is_synchronized()) {
         return std::nullopt;
     }
-    mirror_news news;
+    mirror_update news;
     news.as_of = this->told_until();
     news.after = after;
-    news.whole = after < this->changes_since;
-    if (news.whole) {
+    news.complete = after < this->changes_since;
+    if (news.complete) {
         for (const auto& [key, entry] : this->known) {
             news.entries.push_back(entry);
         }
@@ -263,7 +267,7 @@
     return news;
 }
 
-void prefix_mirror::on_told(const mirror_news& news)
+void prefix_mirror::on_peer_update(const mirror_update& news)
 {
     if (news.as_of <= this->watched) {
         return;
@@ -281,14 +285,14 @@
             this->drop(entry.key, entry.revision);
         }
     }
-    if (news.whole) {
+    if (news.complete) {
         this->changes_since = std::max(this->changes_since, news.as_of);
         for (const auto& key : this->missing_from(listed, news.as_of)) {
             this->drop(key, 0);
         }
     }
     this->go_on_to(news);
-    if (news.whole && !this->has_list) {
+    if (news.complete && !this->has_list) {
         this->has_list = true;
         this->actions.emplace_back(mirror_listed{});
     }
@@ -296,14 +300,14 @@
 
 // Behind a gap, and from where something is left out, not everything is known that was before. Only
 // the lowest revision that is left out is named: that one may be known already, and others not.
-void prefix_mirror::go_on_to(const mirror_news& news)
+void prefix_mirror::go_on_to(const mirror_update& news)
 {
-    const bool lacks_some = news.left_out != 0;
+    const bool lacks_some = news.first_omitted != 0;
     if (lacks_some) {
         this->told_of = std::max(this->told_of, news.as_of);
     }
-    if (news.whole || news.after <= this->watched) {
-        this->watched = lacks_some ? std::max(this->watched, news.left_out - 1) : news.as_of;
+    if (news.complete || news.after <= this->watched) {
+        this->watched = lacks_some ? std::max(this->watched, news.first_omitted - 1) : news.as_of;
     }
 }
 
--- a/coordination/src/watch_share.cpp
+++ b/coordination/src/watch_share.cpp
@@ -19,40 +19,40 @@
 void watch_share::set_peer(const std::string& name, const std::string& zone)
 {
     if (name != this->settings.self && zone == this->settings.zone) {
-        this->near.insert_or_assign(name, rank_of(name));
+        this->zone_peers.insert_or_assign(name, rank_of(name));
     } else {
-        this->near.erase(name);
+        this->zone_peers.erase(name);
     }
 }
 
-void watch_share::on_word(store_revision as_of, store_revision revision, decision::duration age,
-                          decision::instant now)
+void watch_share::on_watcher_update(store_revision as_of, store_revision revision,
+                                    decision::duration age, decision::instant now)
 {
     if (as_of < revision || age < decision::duration::zero()) {
         return;
     }
-    this->fresh_until = std::max(this->fresh_until, now + this->settings.word_lifetime - age);
+    this->fresh_until = std::max(this->fresh_until, now + this->settings.update_lifetime - age);
 }
 
 bool watch_share::is_watcher() const
 {
     const auto own = rank_of(this->settings.self);
-    const auto before = std::count_if(this->near.begin(), this->near.end(),
+    const auto before = std::count_if(this->zone_peers.begin(), this->zone_peers.end(),
                                       [own](const auto& named) { return named.second > own; });
-    return static_cast<std::size_t>(before) < this->settings.watchers;
+    return static_cast<std::size_t>(before) < this->settings.watcher_count;
 }
 
 watch_mode watch_share::mode(decision::instant now) const
 {
-    if (this->near.size() + 1 < this->settings.least_sharing) {
-        return watch_mode::alone;
+    if (this->zone_peers.size() + 1 < this->settings.min_routers_to_share) {
+        return watch_mode::independent;
     }
     if (this->is_watcher()) {
-        return watch_mode::for_others;
+        return watch_mode::watcher;
     }
     const auto part = static_cast<std::int64_t>(rank_of(this->settings.self) % 8);
-    const auto patience = this->settings.spread * part / 8;
-    return now < this->fresh_until + patience ? watch_mode::follows : watch_mode::alone;
+    const auto patience = this->settings.fallback_spread * part / 8;
+    return now < this->fresh_until + patience ? watch_mode::follower : watch_mode::independent;
 }
 
 } // namespace pearhaven::coordination
--- a/coordination/test/config_replica_test.cpp
+++ b/coordination/test/config_replica_test.cpp
@@ -91,7 +91,7 @@
     // What is in force is the true state at its revision, and newer than any before it.
     void on_action(std::size_t node, const config_replica::action& action) override
     {
-        if (const auto* newer = std::get_if<config_in_force>(&action)) {
+        if (const auto* newer = std::get_if<config_applied>(&action)) {
             const config_state& state = *newer->state;
             std::uint64_t& last = this->last_in_force[this->id(node)];
             this->faults += state.objects() != this->states.at(state.revision())->objects() ? 1 : 0;
--- a/coordination/test/peer_exchange_test.cpp
+++ b/coordination/test/peer_exchange_test.cpp
@@ -149,12 +149,12 @@
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 2);
     const auto sends = exchange.on_tick({}, {false, 17}, start);
-    mirror_news news;
+    mirror_update news;
     news.nonce = std::get<mirror_pull>(sends[0].message).nonce + 1;
-    CHECK_FALSE(exchange.takes(news));
+    CHECK_FALSE(exchange.accepts_answer(news));
     --news.nonce;
-    CHECK_TRUE(exchange.takes(news));
-    CHECK_FALSE(exchange.takes(news));
+    CHECK_TRUE(exchange.accepts_answer(news));
+    CHECK_FALSE(exchange.accepts_answer(news));
 }
 
 // Callers are refused on a route that was added many seconds ago, at a router that the store turns
@@ -175,12 +175,12 @@
     }
     CHECK_EQUAL(4U, small.size());
     CHECK_EQUAL(1U, large.size());
-    mirror_news news;
+    mirror_update news;
     news.nonce = large[0].nonce;
-    CHECK_TRUE(exchange.takes(news));
-    CHECK_FALSE(exchange.takes(news));
+    CHECK_TRUE(exchange.accepts_answer(news));
+    CHECK_FALSE(exchange.accepts_answer(news));
     news.nonce = small[3].nonce;
-    CHECK_TRUE(exchange.takes(news));
+    CHECK_TRUE(exchange.accepts_answer(news));
 }
 
 // As above, where the links of the peers are full: the value takes longer than any one period. Each
@@ -198,9 +198,9 @@
             }
         }
     }
-    mirror_news news;
+    mirror_update news;
     news.nonce = large[0].nonce;
-    CHECK_TRUE(exchange.takes(news));
+    CHECK_TRUE(exchange.accepts_answer(news));
 }
 
 TEST(peer_exchange, a_router_alone_says_nothing)
--- a/coordination/test/prefix_mirror_test.cpp
+++ b/coordination/test/prefix_mirror_test.cpp
@@ -81,7 +81,7 @@
     CHECK_TRUE(this->saw(mirror_changed{{"things/a", "1", 7}}));
     CHECK_TRUE(this->saw(mirror_listed{}));
     CHECK_EQUAL(10U, this->last_watch()->after);
-    CHECK_TRUE(this->mirror.is_in_touch());
+    CHECK_TRUE(this->mirror.is_synchronized());
 }
 
 TEST(prefix_mirror, tells_changes_and_removals_of_a_watch)
@@ -111,33 +111,33 @@
 TEST(prefix_mirror, only_the_first_list_may_be_old)
 {
     prefix_mirror_settings chosen;
-    chosen.first_list_may_be_old = true;
+    chosen.allow_stale_first_list = true;
     this->mirror = prefix_mirror(chosen);
     this->tick(start);
-    CHECK_TRUE(std::get<kv_range>(this->calls.back().request).may_be_old);
+    CHECK_TRUE(std::get<kv_range>(this->calls.back().request).allow_stale);
     this->answer(reply_of(kv_outcome::ok, 10, {{"things/a", "1", 7}}), start);
     CHECK_EQUAL(10U, this->last_watch()->after);
     this->answer(reply_of(kv_outcome::not_found), start + seconds(1));
-    CHECK_FALSE(std::get<kv_range>(this->calls.back().request).may_be_old);
+    CHECK_FALSE(std::get<kv_range>(this->calls.back().request).allow_stale);
 }
 
 // Guards against a list from a store that cannot be read and is asked for its old state for ever.
 TEST(prefix_mirror, a_list_that_failed_is_asked_for_afresh)
 {
     prefix_mirror_settings chosen;
-    chosen.first_list_may_be_old = true;
+    chosen.allow_stale_first_list = true;
     this->mirror = prefix_mirror(chosen);
     this->tick(start);
     this->answer(reply_of(kv_outcome::unavailable), start);
     this->tick(start + seconds(1));
-    CHECK_FALSE(std::get<kv_range>(this->calls.back().request).may_be_old);
+    CHECK_FALSE(std::get<kv_range>(this->calls.back().request).allow_stale);
 }
 
 // Guards against late news for a whole zone where single routers may hear of them later.
 TEST(prefix_mirror, a_router_that_watches_for_others_gathers_for_a_shorter_time)
 {
     prefix_mirror_settings chosen;
-    chosen.gather_time = milliseconds(300);
+    chosen.change_batch_delay = milliseconds(300);
     this->mirror = prefix_mirror(chosen);
     this->list_one();
     this->answer(reply_of(kv_outcome::ok, 12, {{"things/b", "2", 11}}), start);
@@ -145,7 +145,7 @@
     CHECK_EQUAL(2U, this->calls.size());
     this->tick(start + milliseconds(300));
     CHECK_EQUAL(3U, this->calls.size());
-    this->mirror.set_mode(watch_mode::for_others);
+    this->mirror.set_mode(watch_mode::watcher);
     this->answer(reply_of(kv_outcome::ok, 13, {{"things/b", "3", 13}}), start + seconds(1));
     this->tick(start + seconds(1) + milliseconds(150));
     CHECK_EQUAL(4U, this->calls.size());
@@ -233,10 +233,10 @@
 TEST(prefix_mirror, hears_of_changes_from_another_router)
 {
     this->list_one();
-    mirror_news news;
+    mirror_update news;
     news.as_of = 14;
     news.entries = {{"things/b", "2", 13}, {"things/a", "", 14}};
-    this->mirror.on_told(news);
+    this->mirror.on_peer_update(news);
     this->collect();
     CHECK_TRUE(this->saw(mirror_changed{{"things/b", "2", 13}}));
     CHECK_TRUE(this->saw(mirror_removed{"things/a", 14}));
@@ -244,7 +244,7 @@
     this->seen.clear();
     news.as_of = 12;
     news.entries = {{"things/a", "1", 7}};
-    this->mirror.on_told(news);
+    this->mirror.on_peer_update(news);
     this->collect();
     CHECK_TRUE(this->seen.empty());
 }
@@ -254,15 +254,15 @@
 {
     this->list_one();
     this->answer(reply_of(kv_outcome::ok, 13, {{"things/new", "3", 13}}), start);
-    mirror_news news;
+    mirror_update news;
     news.as_of = 12;
-    news.whole = true;
-    this->mirror.on_told(news); // older than what is known
+    news.complete = true;
+    this->mirror.on_peer_update(news); // older than what is known
     this->collect();
     CHECK_EQUAL(2U, this->mirror.entries().size());
     news.as_of = 14;
     news.entries = {{"things/new", "3", 13}};
-    this->mirror.on_told(news);
+    this->mirror.on_peer_update(news);
     this->collect();
     CHECK_EQUAL(1U, this->mirror.entries().size());
     CHECK_TRUE(this->saw(mirror_removed{"things/a", 0}));
@@ -275,10 +275,10 @@
     this->list_one();
     this->answer(reply_of(kv_outcome::not_found),
                  start); // the history is gone: a list is under way
-    mirror_news news;
+    mirror_update news;
     news.as_of = 14;
     news.entries = {{"things/b", "2", 13}};
-    this->mirror.on_told(news);
+    this->mirror.on_peer_update(news);
     this->collect();
     this->seen.clear();
     this->answer(reply_of(kv_outcome::ok, 12, {{"things/a", "1", 7}}), start);
@@ -293,27 +293,27 @@
 {
     this->list_one();
     this->answer(reply_of(kv_outcome::ok, 11, {}), start);
-    this->mirror.set_mode(watch_mode::follows);
+    this->mirror.set_mode(watch_mode::follower);
     this->answer(reply_of(kv_outcome::ok, 11, {}), start);
     const auto asked_before = this->calls.size();
     this->tick(start + seconds(1));
     CHECK_EQUAL(asked_before, this->calls.size());
-    mirror_news word;
+    mirror_update word;
     word.after = 11;
     word.as_of = 14;
-    word.left_out = 12;
+    word.first_omitted = 12;
     word.entries = {{"things/a", "", 13}};
-    this->mirror.on_told(word);
+    this->mirror.on_peer_update(word);
     this->collect();
     CHECK_TRUE(this->saw(mirror_removed{"things/a", 13}));
-    CHECK_TRUE(this->mirror.has_to_ask());
+    CHECK_TRUE(this->mirror.must_read_store());
     CHECK_EQUAL(11U, this->mirror.revision());
     this->tick(start + seconds(2));
     CHECK_EQUAL(11U, this->last_watch()->after);
     const kv_entry large{"things/large", std::string(100'000, 'x'), 12};
     this->answer(reply_of(kv_outcome::ok, 14, {large, {"things/a", "", 13}}), start + seconds(2));
     CHECK_TRUE(this->saw(mirror_changed{large}));
-    CHECK_FALSE(this->mirror.has_to_ask());
+    CHECK_FALSE(this->mirror.must_read_store());
     CHECK_EQUAL(14U, this->mirror.revision());
     const auto asked = this->calls.size();
     this->tick(start + seconds(4));
@@ -328,14 +328,14 @@
 {
     this->list_one();
     this->answer(reply_of(kv_outcome::ok, 15, {{"things/b", std::string(20'000, 'x'), 12}}), start);
-    mirror_news of_other;
+    mirror_update of_other;
     of_other.after = 11;
     of_other.as_of = 20;
     of_other.entries = {{"things/b", std::string(20'000, 'x'), 12},
                         {"things/c", std::string(20'000, 'x'), 18}};
-    this->mirror.on_told(without_large_values(of_other));
+    this->mirror.on_peer_update(without_large_values(of_other));
     this->collect();
-    CHECK_TRUE(this->mirror.has_to_ask());
+    CHECK_TRUE(this->mirror.must_read_store());
     CHECK_TRUE(this->mirror.revision() < 18);
 }
 
@@ -346,14 +346,14 @@
 {
     this->list_one();
     this->answer(reply_of(kv_outcome::ok, 15, {}), start);
-    mirror_news everything;
-    everything.whole = true;
+    mirror_update everything;
+    everything.complete = true;
     everything.after = 5;
     everything.as_of = 20;
     everything.entries = {{"things/a", "1", 7}, {"things/c", "new", 18}};
-    this->mirror.on_told(without_large_values(everything));
+    this->mirror.on_peer_update(without_large_values(everything));
     this->collect();
-    CHECK_TRUE(this->mirror.has_to_ask());
+    CHECK_TRUE(this->mirror.must_read_store());
     CHECK_TRUE(this->mirror.revision() < 18);
 }
 
@@ -365,13 +365,13 @@
     this->list_one();
     this->answer(reply_of(kv_outcome::not_found), start);
     this->answer(reply_of(kv_outcome::ok, 30, {{"things/a", "1", 7}}), start);
-    const auto word = this->mirror.news_after(15);
+    const auto word = this->mirror.updates_after(15);
     CHECK_TRUE(word.has_value());
     prefix_mirror follower{prefix_mirror_settings{}};
     follower.on_tick(start);
     follower.on_reply(
         1, reply_of(kv_outcome::ok, 15, {{"things/a", "1", 7}, {"things/b", "1", 12}}), start);
-    follower.on_told(*word);
+    follower.on_peer_update(*word);
     CHECK_TRUE(follower.entries().count("things/b") == 0 || follower.revision() < 18);
 }
 
@@ -381,20 +381,20 @@
 {
     this->tick(start);
     this->answer(reply_of(kv_outcome::unavailable), start);
-    mirror_news everything;
-    everything.whole = true;
+    mirror_update everything;
+    everything.complete = true;
     everything.as_of = 20;
     everything.entries = {{"things/a", "1", 7}};
-    this->mirror.on_told(everything);
+    this->mirror.on_peer_update(everything);
     this->tick(start + seconds(1));
     this->answer(reply_of(kv_outcome::ok, 30, {{"things/a", "1", 7}}), start + seconds(1));
-    const auto word = this->mirror.news_after(15);
+    const auto word = this->mirror.updates_after(15);
     CHECK_TRUE(word.has_value());
     prefix_mirror follower{prefix_mirror_settings{}};
     follower.on_tick(start);
     follower.on_reply(
         1, reply_of(kv_outcome::ok, 15, {{"things/a", "1", 7}, {"things/b", "1", 12}}), start);
-    follower.on_told(*word);
+    follower.on_peer_update(*word);
     CHECK_TRUE(follower.entries().count("things/b") == 0 || follower.revision() < 18);
 }
 
@@ -404,18 +404,18 @@
 TEST(prefix_mirror, one_that_was_turned_away_comes_back_into_touch)
 {
     this->list_one();
-    this->mirror.set_mode(watch_mode::follows);
+    this->mirror.set_mode(watch_mode::follower);
     this->answer(reply_of(kv_outcome::unavailable), start);
-    CHECK_FALSE(this->mirror.is_in_touch());
-    mirror_news news;
+    CHECK_FALSE(this->mirror.is_synchronized());
+    mirror_update news;
     news.after = 10;
     news.as_of = 12;
     news.entries = {{"things/large", std::string(100'000, 'x'), 12}};
-    this->mirror.on_told(news);
+    this->mirror.on_peer_update(news);
     this->tick(start + seconds(1));
     CHECK_EQUAL(12U, this->last_watch()->after);
     this->answer(reply_of(kv_outcome::ok, 12, {}), start + seconds(1));
-    CHECK_TRUE(this->mirror.is_in_touch());
+    CHECK_TRUE(this->mirror.is_synchronized());
 }
 
 // Callers are sent to an endpoint for 2.5 s after it has left. The store had turned this router
@@ -428,7 +428,7 @@
     this->answer(reply_of(kv_outcome::unavailable), start);
     auto now = start;
     for (; now < start + seconds(4); now += milliseconds(300)) {
-        this->mirror.on_others_served(now - milliseconds(100));
+        this->mirror.on_peer_served_by_store(now - milliseconds(100));
     }
     this->tick(now);
     this->answer(reply_of(kv_outcome::ok, 12, {{"things/a", "", 12}}), now);
@@ -440,11 +440,11 @@
 TEST(prefix_mirror, a_removal_waits_where_the_store_has_served_others_for_a_moment)
 {
     this->list_one();
-    this->mirror.on_others_served(start);
+    this->mirror.on_peer_served_by_store(start);
     this->answer(reply_of(kv_outcome::unavailable), start);
     const auto back = start + seconds(6);
-    this->mirror.on_others_served(back - milliseconds(400));
-    this->mirror.on_others_served(back - milliseconds(100));
+    this->mirror.on_peer_served_by_store(back - milliseconds(400));
+    this->mirror.on_peer_served_by_store(back - milliseconds(100));
     this->tick(back);
     this->answer(reply_of(kv_outcome::ok, 12, {{"things/a", "", 12}}), back);
     CHECK_FALSE(this->saw(mirror_removed{"things/a", 12}));
@@ -467,18 +467,18 @@
     prefix_mirror follower{prefix_mirror_settings{}};
     follower.on_tick(start);
     follower.on_reply(1, reply_of(kv_outcome::ok, 10, {{"things/a", "1", 7}}), start);
-    follower.on_told(*this->mirror.news_after(10));
+    follower.on_peer_update(*this->mirror.updates_after(10));
     CHECK_EQUAL(2U, follower.entries().size());
     CHECK_EQUAL(11U, follower.revision());
     auto by_other = follower;
-    mirror_news of_other;
+    mirror_update of_other;
     of_other.after = 10;
     of_other.as_of = 13;
     of_other.entries = {{"things/a", "", 12}, {"things/b", "1", 13}};
-    by_other.on_told(of_other);
+    by_other.on_peer_update(of_other);
     CHECK_EQUAL(1U, by_other.entries().size());
     this->tick(start + seconds(3));
-    follower.on_told(*this->mirror.news_after(11));
+    follower.on_peer_update(*this->mirror.updates_after(11));
     CHECK_EQUAL(1U, follower.entries().size());
     CHECK_EQUAL(13U, follower.revision());
 }
@@ -487,25 +487,25 @@
 TEST(prefix_mirror, a_word_of_what_never_was_is_forgotten)
 {
     this->list_one();
-    this->mirror.set_mode(watch_mode::follows);
+    this->mirror.set_mode(watch_mode::follower);
     this->answer(reply_of(kv_outcome::ok, 10, {}), start);
-    mirror_news word;
+    mirror_update word;
     word.after = 10;
     word.as_of = 1'000'000;
-    word.left_out = 999'999;
-    this->mirror.on_told(word);
+    word.first_omitted = 999'999;
+    this->mirror.on_peer_update(word);
     this->collect();
     this->tick(start + seconds(1));
     const auto asked = this->calls.size();
     this->answer(reply_of(kv_outcome::ok, 11, {}), start + seconds(2));
     this->tick(start + seconds(3));
     CHECK_EQUAL(asked, this->calls.size());
-    CHECK_FALSE(this->mirror.has_to_ask());
+    CHECK_FALSE(this->mirror.must_read_store());
 }
 
 TEST(prefix_mirror, a_word_to_many_holds_small_values)
 {
-    mirror_news news;
+    mirror_update news;
     news.after = 10;
     news.as_of = 15;
     news.entries = {{"large", std::string(500'000, 'x'), 11},
@@ -514,16 +514,16 @@
                     {"larger", std::string(600'000, 'x'), 14}};
     const auto word = without_large_values(news);
     CHECK_TRUE((std::vector<kv_entry>{{"gone", "", 13}, {"small", "1", 12}}) == word.entries);
-    CHECK_EQUAL(11U, word.left_out);
+    CHECK_EQUAL(11U, word.first_omitted);
     CHECK_EQUAL(15U, word.as_of);
     news.entries.erase(news.entries.begin());
     news.entries.pop_back();
-    CHECK_EQUAL(0U, without_large_values(news).left_out);
-    news.whole = true;
+    CHECK_EQUAL(0U, without_large_values(news).first_omitted);
+    news.complete = true;
     const auto nothing = without_large_values(news);
-    CHECK_FALSE(nothing.whole);
+    CHECK_FALSE(nothing.complete);
     CHECK_TRUE(nothing.entries.empty());
-    CHECK_EQUAL(11U, nothing.left_out);
+    CHECK_EQUAL(11U, nothing.first_omitted);
 }
 
 TEST(prefix_mirror, tells_others_what_has_changed_since_they_heard)
@@ -531,22 +531,22 @@
     this->list_one();
     this->answer(reply_of(kv_outcome::ok, 12, {{"things/b", "2", 11}, {"things/a", "", 12}}),
                  start);
-    const auto news = this->mirror.news_after(11);
+    const auto news = this->mirror.updates_after(11);
     CHECK_TRUE(news.has_value());
-    CHECK_FALSE(news->whole);
+    CHECK_FALSE(news->complete);
     CHECK_EQUAL(12U, news->as_of);
     CHECK_TRUE((std::vector<kv_entry>{{"things/a", "", 12}}) == news->entries);
-    const auto all = this->mirror.news_after(0); // before this mirror's own first list
-    CHECK_TRUE(all->whole);
+    const auto all = this->mirror.updates_after(0); // before this mirror's own first list
+    CHECK_TRUE(all->complete);
     CHECK_TRUE((std::vector<kv_entry>{{"things/b", "2", 11}}) == all->entries);
 }
 
 TEST(prefix_mirror, tells_nothing_while_it_cannot_read_the_store_itself)
 {
-    CHECK_FALSE(this->mirror.news_after(0).has_value());
+    CHECK_FALSE(this->mirror.updates_after(0).has_value());
     this->list_one();
     this->answer(reply_of(kv_outcome::unavailable), start);
-    CHECK_FALSE(this->mirror.news_after(0).has_value());
+    CHECK_FALSE(this->mirror.updates_after(0).has_value());
 }
 
 // A key that a list lacks was removed at some time since the list before. Whoever asks from before
@@ -556,17 +556,17 @@
     this->list_one();
     this->answer(reply_of(kv_outcome::not_found), start); // the history is gone
     this->answer(reply_of(kv_outcome::ok, 20, {{"things/b", "2", 15}}), start);
-    const auto news = this->mirror.news_after(19);
-    CHECK_TRUE(news->whole);
+    const auto news = this->mirror.updates_after(19);
+    CHECK_TRUE(news->complete);
     CHECK_TRUE((std::vector<kv_entry>{{"things/b", "2", 15}}) == news->entries);
     prefix_mirror follower{prefix_mirror_settings{}};
     follower.on_tick(start);
     const std::vector<kv_entry> held = {{"things/a", "1", 7}, {"things/b", "2", 15}};
     follower.on_reply(1, reply_of(kv_outcome::ok, 19, held), start);
-    follower.on_told(*news);
+    follower.on_peer_update(*news);
     CHECK_TRUE(follower.entries() == this->mirror.entries());
     CHECK_EQUAL(20U, follower.revision());
-    CHECK_TRUE(this->mirror.news_after(20)->entries.empty());
+    CHECK_TRUE(this->mirror.updates_after(20)->entries.empty());
 }
 
 // Two mirrors of one store. One hears everything from the store, the other now and then from the
@@ -600,7 +600,7 @@
         auto now = start;
         store_revision revision = 5;
         serve(reply_of(kv_outcome::ok, revision), now);
-        std::vector<mirror_news> late;
+        std::vector<mirror_update> late;
         store_revision heard = 0;
         for (int step = 0; step < 60; ++step) {
             now += seconds(1);
@@ -609,15 +609,15 @@
             ++revision;
             serve(reply_of(kv_outcome::ok, revision, {{key, value, revision}}), now);
             if (draw(2) == 0) {
-                late.push_back(*near.news_after(far.revision()));
+                late.push_back(*near.updates_after(far.revision()));
             }
             if (!late.empty() && draw(2) == 0) {
-                far.on_told(late[draw(static_cast<std::uint32_t>(late.size()))]);
+                far.on_peer_update(late[draw(static_cast<std::uint32_t>(late.size()))]);
                 CHECK_TRUE(far.revision() >= heard);
                 heard = far.revision();
             }
         }
-        far.on_told(*near.news_after(far.revision()));
+        far.on_peer_update(*near.updates_after(far.revision()));
         CHECK_TRUE(near.entries() == far.entries());
     }
 }
--- a/coordination/test/watch_share_test.cpp
+++ b/coordination/test/watch_share_test.cpp
@@ -57,7 +57,7 @@
     std::map<store_revision, std::string> large;
 };
 
-std::size_t bytes_of(const mirror_news& news)
+std::size_t bytes_of(const mirror_update& news)
 {
     std::size_t sum = 0;
     for (const auto& entry : news.entries) {
@@ -186,14 +186,14 @@
     void pass_on(std::size_t number)
     {
         auto& router = *this->routers[number];
-        const bool passes = router.share.mode(this->now) == watch_mode::for_others &&
-                            router.mirror.is_in_touch() &&
+        const bool passes = router.share.mode(this->now) == watch_mode::watcher &&
+                            router.mirror.is_synchronized() &&
                             router.mirror.confirmed_at() != router.passed_on_at;
         if (!passes) {
             return;
         }
         const auto from = router.passed_on == 0 ? router.mirror.revision() : router.passed_on;
-        const auto news = without_large_values(router.mirror.news_after(from).value());
+        const auto news = without_large_values(router.mirror.updates_after(from).value());
         router.passed_on = news.as_of;
         router.passed_on_at = router.mirror.confirmed_at();
         for (std::size_t to = 0; to < this->routers.size(); ++to) {
@@ -203,15 +203,15 @@
         }
     }
 
-    void hear(model_router& listener, model_router& teller, const mirror_news& news) const
+    void hear(model_router& listener, model_router& teller, const mirror_update& news) const
     {
         const auto known = listener.mirror.revision();
-        const bool asks_teller = news.after > known && !listener.mirror.has_to_ask();
+        const bool asks_teller = news.after > known && !listener.mirror.must_read_store();
         const auto rest =
-            asks_teller ? without_large_values(teller.mirror.news_after(known).value()) : news;
+            asks_teller ? without_large_values(teller.mirror.updates_after(known).value()) : news;
         teller.bytes_passed_on += bytes_of(rest);
-        listener.mirror.on_told(rest);
-        listener.share.on_word(rest.as_of, listener.mirror.revision(), {}, this->now);
+        listener.mirror.on_peer_update(rest);
+        listener.share.on_watcher_update(rest.as_of, listener.mirror.revision(), {}, this->now);
     }
 };
 
@@ -223,8 +223,8 @@
 {
     watching_zone zone(30);
     zone.play(seconds(2));
-    CHECK_EQUAL(2U, zone.in_mode(watch_mode::for_others).size());
-    CHECK_EQUAL(28U, zone.in_mode(watch_mode::follows).size());
+    CHECK_EQUAL(2U, zone.in_mode(watch_mode::watcher).size());
+    CHECK_EQUAL(28U, zone.in_mode(watch_mode::follower).size());
     const int before = zone.calls();
     for (int i = 0; i < 20; ++i) {
         zone.store.write();
@@ -239,7 +239,7 @@
 {
     watching_zone zone(7);
     zone.play(seconds(1));
-    CHECK_EQUAL(7U, zone.in_mode(watch_mode::alone).size());
+    CHECK_EQUAL(7U, zone.in_mode(watch_mode::independent).size());
 }
 
 TEST(watch_share, routers_of_other_zones_do_not_count)
@@ -248,7 +248,7 @@
     for (int i = 0; i < 90; ++i) {
         share.set_peer(std::to_string(i), "tema");
     }
-    CHECK_TRUE(watch_mode::alone == share.mode(start));
+    CHECK_TRUE(watch_mode::independent == share.mode(start));
 }
 
 // Callers get no answers from two routers of each zone, for many seconds after the operators stated
@@ -276,7 +276,7 @@
 {
     watching_zone zone(30);
     zone.play(seconds(2));
-    for (const auto watcher : zone.in_mode(watch_mode::for_others)) {
+    for (const auto watcher : zone.in_mode(watch_mode::watcher)) {
         zone.routers[watcher]->alive = false;
     }
     zone.store.write();
@@ -290,7 +290,7 @@
 {
     watching_zone zone(30);
     zone.play(seconds(2));
-    for (const auto watcher : zone.in_mode(watch_mode::for_others)) {
+    for (const auto watcher : zone.in_mode(watch_mode::watcher)) {
         zone.routers[watcher]->cut_off = true;
     }
     zone.store.write();
@@ -303,7 +303,7 @@
 {
     watching_zone zone(30);
     zone.play(seconds(2));
-    zone.routers[*zone.in_mode(watch_mode::for_others).begin()]->alive = false;
+    zone.routers[*zone.in_mode(watch_mode::watcher).begin()]->alive = false;
     zone.store.write();
     zone.play(milliseconds(600));
     CHECK_TRUE(zone.all_know());
@@ -313,12 +313,12 @@
 {
     watching_zone zone(30);
     zone.play(seconds(1));
-    const auto gone = *zone.in_mode(watch_mode::for_others).begin();
+    const auto gone = *zone.in_mode(watch_mode::watcher).begin();
     zone.routers[gone]->alive = false;
     for (const auto& router : zone.routers) {
         router->share.drop_peer(name_of(gone));
     }
-    auto watchers = zone.in_mode(watch_mode::for_others);
+    auto watchers = zone.in_mode(watch_mode::watcher);
     watchers.erase(gone);
     CHECK_EQUAL(2U, watchers.size());
 }
@@ -330,12 +330,12 @@
     for (int i = 0; i < 9; ++i) {
         share.set_peer(std::to_string(i), "osu");
     }
-    share.on_word(7, 8, {}, start);
-    CHECK_TRUE(watch_mode::alone == share.mode(start + milliseconds(300)));
-    share.on_word(8, 8, milliseconds(-1), start);
-    CHECK_TRUE(watch_mode::alone == share.mode(start + milliseconds(300)));
-    share.on_word(8, 8, {}, start);
-    CHECK_TRUE(watch_mode::follows == share.mode(start + milliseconds(300)));
+    share.on_watcher_update(7, 8, {}, start);
+    CHECK_TRUE(watch_mode::independent == share.mode(start + milliseconds(300)));
+    share.on_watcher_update(8, 8, milliseconds(-1), start);
+    CHECK_TRUE(watch_mode::independent == share.mode(start + milliseconds(300)));
+    share.on_watcher_update(8, 8, {}, start);
+    CHECK_TRUE(watch_mode::follower == share.mode(start + milliseconds(300)));
 }
 
 TEST(watch_share, a_word_counts_from_when_the_store_said_it)
@@ -344,7 +344,7 @@
     for (int i = 0; i < 9; ++i) {
         share.set_peer(std::to_string(i), "osu");
     }
-    share.on_word(8, 8, seconds(1), start);
-    CHECK_TRUE(watch_mode::follows == share.mode(start + milliseconds(199)));
-    CHECK_TRUE(watch_mode::alone == share.mode(start + milliseconds(401)));
+    share.on_watcher_update(8, 8, seconds(1), start);
+    CHECK_TRUE(watch_mode::follower == share.mode(start + milliseconds(199)));
+    CHECK_TRUE(watch_mode::independent == share.mode(start + milliseconds(401)));
 }
--- a/router/include/pearhaven/router/peer_desk.hpp
+++ b/router/include/pearhaven/router/peer_desk.hpp
@@ -65,16 +65,16 @@
     void take(const std::string& from, const adapters::peer_address& reply_to,
               const coordination::peer_message& message);
     void take(const std::string& from, const adapters::peer_address& reply_to,
-              const coordination::mirror_news& news);
+              const coordination::mirror_update& news);
     void set_watch_mode();
-    void tell_mirror(const std::string& from, const coordination::mirror_news& news);
+    void tell_mirror(const std::string& from, const coordination::mirror_update& news);
     void answer(const adapters::peer_address& to, const coordination::mirror_pull& asked);
 
     parts used;
     peer_desk_settings settings;
     coordination::peer_exchange exchange;
     coordination::watch_share share;
-    coordination::watch_mode mode = coordination::watch_mode::alone;
+    coordination::watch_mode mode = coordination::watch_mode::independent;
     coordination::store_revision passed_on = 0; // up to where the others have been told
     decision::instant passed_on_at;             // of the store's answer that was passed on last
     std::unique_ptr<adapters::peer_link> link;
--- a/router/src/fleet_duty.cpp
+++ b/router/src/fleet_duty.cpp
@@ -374,7 +374,7 @@
 }
 
 // What was learnt has its own time in the parts that act on it.
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::fact_forgotten& /*action*/) {}
+void fleet_duty::carry_out(fleet_part /*part*/, const coordination::fact_removed& /*action*/) {}
 
 void fleet_duty::handle(leave_begun& event)
 {
@@ -448,7 +448,7 @@
     adapters::log_warning("stored_value_unreadable", {{"key", action.key}});
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::config_in_force& action)
+void fleet_duty::carry_out(fleet_part /*part*/, const coordination::config_applied& action)
 {
     auto built = adapters::build_configuration(action.state->revision(), action.state->objects());
     for (const auto& fault : built.faults) {
--- a/router/src/fleet_duty.hpp
+++ b/router/src/fleet_duty.hpp
@@ -88,12 +88,12 @@
     void carry_out(fleet_part part, const coordination::store_call& action);
     void carry_out(fleet_part part, const coordination::send_message& action);
     void carry_out(fleet_part part, const coordination::unreadable_value& action);
-    void carry_out(fleet_part part, const coordination::config_in_force& action);
+    void carry_out(fleet_part part, const coordination::config_applied& action);
     void carry_out(fleet_part part, const coordination::bill_safe& action);
     void carry_out(fleet_part part, const coordination::claim_decided& action);
     void carry_out(fleet_part part, const coordination::member_changed& action);
     void carry_out(fleet_part part, const coordination::fact_learned& action);
-    void carry_out(fleet_part part, const coordination::fact_forgotten& action);
+    void carry_out(fleet_part part, const coordination::fact_removed& action);
 
     void join_fleet();
     void tell_members();
--- a/router/src/peer_desk.cpp
+++ b/router/src/peer_desk.cpp
@@ -25,19 +25,19 @@
     coordination::watch_share_settings made;
     made.self = settings.self;
     made.zone = settings.listens_at.zone;
-    made.word_lifetime = settings.news_bound * 3 / 5;
-    made.spread = settings.news_bound / 10;
+    made.update_lifetime = settings.news_bound * 3 / 5;
+    made.fallback_spread = settings.news_bound / 10;
     return made;
 }
 
 const char* name_of(coordination::watch_mode mode)
 {
     switch (mode) {
-    case coordination::watch_mode::alone:
+    case coordination::watch_mode::independent:
         return "alone";
-    case coordination::watch_mode::for_others:
+    case coordination::watch_mode::watcher:
         return "for others";
-    case coordination::watch_mode::follows:
+    case coordination::watch_mode::follower:
         return "follows";
     }
     return "";
@@ -115,10 +115,10 @@
     }
     this->set_watch_mode();
     const auto& mirror = this->used.mirror;
-    const auto sends =
-        this->exchange.on_tick(this->used.dispatcher.endpoints().own_loads(),
-                               {mirror.is_in_touch(), mirror.revision(), mirror.has_to_ask()},
-                               this->used.loop.now(), this->used.dispatcher.filling_loads());
+    const auto sends = this->exchange.on_tick(
+        this->used.dispatcher.endpoints().own_loads(),
+        {mirror.is_synchronized(), mirror.revision(), mirror.must_read_store()},
+        this->used.loop.now(), this->used.dispatcher.filling_loads());
     for (const auto& send : sends) {
         this->link->send({send.to.host, send.to.port}, send.message);
     }
@@ -131,7 +131,7 @@
         this->used.dispatcher.on_loads_told(from, told->loads, this->used.loop.now());
     } else if (const auto* asked = std::get_if<coordination::mirror_pull>(&message)) {
         this->answer(reply_to, *asked);
-    } else if (const auto* news = std::get_if<coordination::mirror_news>(&message)) {
+    } else if (const auto* news = std::get_if<coordination::mirror_update>(&message)) {
         this->take(from, reply_to, *news);
     }
 }
@@ -151,13 +151,13 @@
 void peer_desk::pass_on_news()
 {
     const auto& mirror = this->used.mirror;
-    const bool passes_on = this->link && this->mode == coordination::watch_mode::for_others &&
-                           mirror.is_in_touch() && mirror.confirmed_at() != this->passed_on_at;
+    const bool passes_on = this->link && this->mode == coordination::watch_mode::watcher &&
+                           mirror.is_synchronized() && mirror.confirmed_at() != this->passed_on_at;
     if (!passes_on) {
         return;
     }
     const auto from = this->passed_on == 0 ? mirror.revision() : this->passed_on;
-    auto news = mirror.news_after(from);
+    auto news = mirror.updates_after(from);
     if (!news) {
         return;
     }
@@ -169,7 +169,7 @@
     for (const auto& entry : word.entries) {
         bytes += entry.value.size();
     }
-    for (const auto& peer : this->exchange.near()) {
+    for (const auto& peer : this->exchange.zone_peers()) {
         this->link->send({peer.host, peer.port}, word);
         this->used.counts.add("pearhaven_peer_news_bytes", {}, bytes);
     }
@@ -178,7 +178,7 @@
 // What a watcher passes on follows what it passed on before. Whoever missed that asks it for the
 // rest, unless it has to ask the store anyway; what the word itself tells holds all the same.
 void peer_desk::take(const std::string& from, const adapters::peer_address& reply_to,
-                     const coordination::mirror_news& news)
+                     const coordination::mirror_update& news)
 {
     if (news.nonce != 0) {
         this->tell_mirror(from, news);
@@ -186,25 +186,26 @@
     }
     const auto known = this->used.mirror.revision();
     if (news.as_of > known) {
-        this->used.mirror.on_told(news);
+        this->used.mirror.on_peer_update(news);
         this->used.on_news();
     }
-    if (!news.whole && news.after > known && !this->used.mirror.has_to_ask()) {
+    if (!news.complete && news.after > known && !this->used.mirror.must_read_store()) {
         this->link->send(reply_to, coordination::mirror_pull{0, known});
         return;
     }
-    this->share.on_word(news.as_of, this->used.mirror.revision(), news.age, this->used.loop.now());
+    this->share.on_watcher_update(news.as_of, this->used.mirror.revision(), news.age,
+                                  this->used.loop.now());
 }
 
 // The store may serve the one that asks again before the answer comes; what is told late is older
 // than what is known, and changes nothing.
-void peer_desk::tell_mirror(const std::string& from, const coordination::mirror_news& news)
+void peer_desk::tell_mirror(const std::string& from, const coordination::mirror_update& news)
 {
-    if (!this->exchange.takes(news)) {
+    if (!this->exchange.accepts_answer(news)) {
         return;
     }
     if (news.age >= decision::duration::zero()) {
-        this->used.mirror.on_others_served(this->used.loop.now() - news.age);
+        this->used.mirror.on_peer_served_by_store(this->used.loop.now() - news.age);
     }
     if (news.as_of <= this->used.mirror.revision()) {
         return;
@@ -213,14 +214,14 @@
     adapters::log_change("heard_from_peer", {{"peer", from},
                                              {"revision", std::to_string(news.as_of)},
                                              {"changes", std::to_string(news.entries.size())},
-                                             {"whole", news.whole ? "true" : "false"}});
-    this->used.mirror.on_told(news);
+                                             {"whole", news.complete ? "true" : "false"}});
+    this->used.mirror.on_peer_update(news);
     this->used.on_news();
 }
 
 void peer_desk::answer(const adapters::peer_address& to, const coordination::mirror_pull& asked)
 {
-    auto news = this->used.mirror.news_after(asked.after);
+    auto news = this->used.mirror.updates_after(asked.after);
     if (news && this->link) {
         if (!asked.large) {
             news = coordination::without_large_values(std::move(*news));
