--- a/coordination/include/pearhaven/coordination/actions.hpp
+++ b/coordination/include/pearhaven/coordination/actions.hpp
@@ -10,16 +10,16 @@
 
 namespace pearhaven::coordination {
 
-// The parts of this package share one shape. Events come in through `on_...` functions with the
-// time at which they happen; what is to be done comes out as values of the part's own `action`
-// variant, which the embedder takes with `take_actions()` after each event and carries out. A part
-// does nothing by itself and is not safe for use by two threads at a time.
+// The components of this package share one interface. Events come in through `on_...` functions
+// with the time at which they happened. The work to do comes out as values of the component's own
+// `action` variant, which the embedder fetches with `take_actions()` after each event and carries
+// out. A component performs no I/O itself and is not thread-safe.
 
-// Matches a reply to the call that asked for it. Unique within one part, never reused.
+// Matches a reply to the call that asked for it. Unique within one component, never reused.
 using call_tag = std::uint64_t;
 
-// Submit the request to the key-value service, and hand the reply to the part's `on_reply` with the
-// same tag. Exactly one reply is expected for each call, however late.
+// Submit the request to the key-value service, and pass the reply to the component's `on_reply`
+// with the same tag. Exactly one reply is expected for each call, however late.
 struct store_call {
     store_call() = default;
     store_call(call_tag call, kv_request what) : tag(call), request(std::move(what)) {}
@@ -30,8 +30,8 @@
     friend bool operator==(const store_call&, const store_call&) = default;
 };
 
-// Where a router listens for its peers, and which life of it is meant. `id` is empty for an address
-// that comes from the settings: whoever answers there is meant.
+// The address at which a router listens for its peers, and the incarnation that is meant. `id` is
+// empty for an address from the settings: any incarnation that answers there is meant.
 struct member_address {
     incarnation_id id;
     std::string host; // IP number
@@ -45,7 +45,7 @@
     return {peer.id, peer.host, peer.peer_port};
 }
 
-// Send the message. It may be lost, delayed or come in another order; the parts allow for that.
+// Send the message. It may be lost, delayed or reordered; the components allow for that.
 struct send_message {
     member_address to;
     peer_message message;
@@ -53,7 +53,7 @@
     friend bool operator==(const send_message&, const send_message&) = default;
 };
 
-// A stored value that could not be read was passed over. For a counter and one log line.
+// A stored value that could not be decoded was skipped. To be counted and logged once.
 struct unreadable_value {
     std::string key;
 
--- a/coordination/include/pearhaven/coordination/config_head.hpp
+++ b/coordination/include/pearhaven/coordination/config_head.hpp
@@ -19,9 +19,9 @@
 inline constexpr std::string_view config_head_key = "config/head";
 inline constexpr std::string_view config_page_prefix = "config/page/";
 
-// The one value that every accepted change goes through, so that all changes have a total order.
+// The single value that every accepted change goes through, which gives all changes a total order.
 // The configuration is the snapshot in the pages, at `snapshot_revision`, with every later change
-// on top. `changes` always holds all of those, and older ones as long as there is room.
+// applied to it. `changes` always holds all of those, and older ones while there is room.
 struct config_head {
     std::uint64_t revision = 0;
     std::string write_id;
@@ -32,8 +32,8 @@
     friend bool operator==(const config_head&, const config_head&) = default;
 };
 
-// Port to the stored form of the head and of the snapshot's pages. Pure: equal values give equal
-// text, since pages are named by their content.
+// Port to the stored form of the head and of the snapshot's pages. Pure and deterministic: equal
+// values give equal text, since pages are named by a hash of their content.
 class config_head_codec {
 public:
     virtual ~config_head_codec() = default;
@@ -45,22 +45,22 @@
     read_page(std::string_view text) const = 0;
 };
 
-// All objects at one revision, in order of kind and name. Immutable; shared by count.
+// All objects at one revision, sorted by kind and name. Immutable and reference-counted.
 class config_state : public boost::intrusive_ref_counter<config_state> {
 public:
     config_state() = default;
 
-    // The objects need not be sorted; of two with the same kind and name the later one holds.
+    // The objects need not be sorted; of two with the same kind and name the later one is kept.
     config_state(std::uint64_t revision, const std::vector<config_object>& objects);
 
     [[nodiscard]] std::uint64_t revision() const { return this->revision_number; }
     [[nodiscard]] const std::vector<config_object>& objects() const { return this->object_list; }
 
-    // Null where there is no such object.
+    // Null if there is no such object.
     [[nodiscard]] const config_object* find(std::string_view kind, std::string_view name) const;
 
-    // The state after those of the changes that follow this revision, in order. Stops before a gap:
-    // the caller sees by the revision how far it came.
+    // The state with the changes applied that follow this revision, in order. Stops before a gap:
+    // the revision of the result shows how many changes were applied.
     [[nodiscard]] boost::intrusive_ptr<const config_state>
     after(const std::vector<config_change>& changes) const;
 
@@ -71,14 +71,14 @@
 
 using config_state_ptr = boost::intrusive_ptr<const config_state>;
 
-// Puts a head's state together from its snapshot's pages, as they come in.
+// Assembles the state of a head from its snapshot's pages as they arrive.
 class snapshot_assembly {
 public:
     explicit snapshot_assembly(config_head head) : target(std::move(head)) {}
 
     [[nodiscard]] const config_head& head() const { return this->target; }
 
-    // A later head with the same snapshot can take the place of the first.
+    // A later head with the same snapshot can replace the first.
     void set_head(config_head later) { this->target = std::move(later); }
 
     void add_page(const std::string& key, std::vector<config_object> objects);
--- a/coordination/include/pearhaven/coordination/config_writer.hpp
+++ b/coordination/include/pearhaven/coordination/config_writer.hpp
@@ -18,42 +18,42 @@
 namespace pearhaven::coordination {
 
 struct config_writer_settings {
-    std::uint64_t seed = 0;              // spreads the retries of racing writers
+    std::uint64_t seed = 0;              // randomizes the retries of competing writers
     std::size_t head_bytes = 64 << 10;   // size at which old changes are folded into the snapshot
-    std::size_t head_changes = 128;      // and their number
+    std::size_t head_changes = 128;      // number of changes at which they are folded
     std::size_t page_bytes = 128 << 10;  // size of a snapshot page, unless one object is larger
-    std::size_t value_bytes = 1'000'000; // the most that the store holds in one value
-    int attempts = 20;                   // calls of the head and rounds of pages, in all
+    std::size_t value_bytes = 1'000'000; // maximum size of one value in the store
+    int attempts = 20;                   // head calls and rounds of page calls, in total
     decision::duration first_retry = std::chrono::milliseconds{20};
     decision::duration longest_retry = std::chrono::seconds{1};
-    // After its pages were written, the head must follow within this time, else they are written
-    // again: whoever removes unused pages waits for longer than that.
+    // The head must be written within this time after its pages, otherwise the pages are written
+    // again: whoever removes unused pages waits longer than this.
     decision::duration page_validity = std::chrono::seconds{20};
 };
 
-// What an operator wants changed: all of it or nothing.
+// A change requested by an operator, applied completely or not at all.
 struct config_edit {
-    std::string write_id; // unique; tells this write from all others for ever
+    std::string write_id; // globally unique, never reused
     std::string author;
     std::uint64_t unix_ms = 0;
-    std::uint64_t seen_revision = 0;    // the configuration that the operator looked at
+    std::uint64_t seen_revision = 0;    // the configuration that the operator edited
     std::vector<config_object> objects; // an empty body deletes
 
     friend bool operator==(const config_edit&, const config_edit&) = default;
 };
 
-// An object that somebody changed after the operator had looked.
+// An object that somebody else changed after the operator read it.
 struct config_conflict {
     std::string kind;
     std::string name;
-    std::uint64_t revision = 0; // of the other's change
+    std::uint64_t revision = 0; // of the conflicting change
     std::string author;
     std::uint64_t unix_ms = 0;
 
     friend bool operator==(const config_conflict&, const config_conflict&) = default;
 };
 
-// The end of a write. Without an error the edit is accepted, as `revision`. With any error but
+// The result of a write. Without an error the edit is accepted, as `revision`. With any error but
 // `outcome_unknown` it is not accepted and never will be.
 struct config_write_done {
     std::error_code error;
@@ -63,17 +63,18 @@
     friend bool operator==(const config_write_done&, const config_write_done&) = default;
 };
 
-// Carries one edit into the stored configuration, by compare-and-swap on its head.
+// Applies one edit to the stored configuration by compare-and-swap on its head.
 //
-// Edits that touch other objects go through even when the head has moved on. One whose objects were
-// changed since the operator looked is a conflict and changes nothing. A swap whose reply was lost
-// is looked up by its write id: had it taken effect, it would be the change right after the head
-// that it was made on. It is repeated only on that same head, where at most one of both can take
-// effect; once the head has moved past, it can take effect no more, and the edit is judged anew.
+// An edit succeeds even if the head has advanced, as long as the newer changes touch other objects.
+// If its own objects were changed since the operator read them, it is a conflict and changes
+// nothing. After a swap whose reply was lost, the writer searches for its write id: if the swap
+// took effect, it is the change right after the head that it was based on. The swap is repeated
+// only on that same head, where at most one of the two can take effect. Once the head has advanced,
+// the lost swap can no longer take effect, and the edit is evaluated again.
 //
-// When the head has grown too large, its changes are folded into pages of a new snapshot, each
-// named by its content. Pages are written before the head that needs them. A page that is there
-// already is written again, so that its newer revision shows that it is wanted.
+// When the head has grown too large, its changes are folded into the pages of a new snapshot, each
+// named by a hash of its content. Pages are written before the head that references them. An
+// existing page is written again, so that its newer revision shows that it is in use.
 class config_writer {
 public:
     using action = std::variant<store_call, config_write_done, unreadable_value>;
@@ -84,7 +85,7 @@
     // Called once.
     void start(config_edit edit, decision::instant now);
 
-    // To be called every 10 ms or so.
+    // Must be called about every 10 ms.
     void on_tick(decision::instant now);
     void on_reply(call_tag tag, const kv_reply& reply, decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
@@ -126,16 +127,16 @@
 
     config_head head; // as last read
     store_revision head_at = 0;
-    config_head next; // the head with this edit, once prepared
+    config_head next; // the head including this edit, once prepared
     std::string next_text;
 
-    // The revision that a swap would have given, or has given, while its outcome is open.
+    // The revision that a swap with unknown outcome produced if it took effect.
     std::optional<std::uint64_t> open_swap;
 
     std::optional<snapshot_assembly> assembly;
     std::map<call_tag, std::string> page_reads;
     std::map<call_tag, page_write> page_writes;
-    std::optional<decision::instant> pages_since; // start of the writing of `next`'s pages
+    std::optional<decision::instant> pages_since; // when writing the pages of `next` began
 
     call_tag next_tag = 1;
     std::optional<call_tag> head_call;
--- a/coordination/include/pearhaven/coordination/errors.hpp
+++ b/coordination/include/pearhaven/coordination/errors.hpp
@@ -5,12 +5,12 @@
 
 namespace pearhaven::coordination {
 
-// Why a coordinated step was not taken. Of these only `outcome_unknown` leaves open whether it was.
+// Why a coordinated operation was not applied. Only `outcome_unknown` leaves open whether it was.
 enum class coordination_error {
-    conflict = 1,      // another got there first
-    stale_view,        // too old a view to tell whether it conflicts: look again
-    too_large,         // does not fit into the store's values
-    unreadable,        // the stored value cannot be read, and is not overwritten
+    conflict = 1,      // another change was applied first
+    stale_view,        // the view is too old to check for conflicts: read again
+    too_large,         // exceeds the store's maximum value size
+    unreadable,        // the stored value cannot be decoded and is not overwritten
     store_unavailable, // certainly not applied
     outcome_unknown,   // may have been applied
 };
--- a/coordination/include/pearhaven/coordination/key_value.hpp
+++ b/coordination/include/pearhaven/coordination/key_value.hpp
@@ -11,10 +11,11 @@
 
 namespace pearhaven::coordination {
 
-// Number of a lease that the key-value service granted; 0 means none.
+// Identifies a lease granted by the key-value service; 0 means none.
 using lease_number = std::uint64_t;
 
-// Revision at which a key was last written. Revisions grow over the whole service; 0 means absent.
+// Revision at which a key was last written. Revisions increase over the whole service; 0 means
+// absent.
 using store_revision = std::uint64_t;
 
 struct kv_entry {
@@ -32,7 +33,8 @@
 
 struct kv_range {
     std::string prefix;
-    bool allow_stale = false; // by some seconds, where the service tells that more cheaply
+    bool allow_stale =
+        false; // a result some seconds old is acceptable if the service returns it at a lower cost
     friend bool operator==(const kv_range&, const kv_range&) = default;
 };
 
@@ -41,7 +43,7 @@
     std::string key;
     std::string value;
     store_revision expected = 0;
-    lease_number lease = 0; // the key goes when this lease ends
+    lease_number lease = 0; // the key is deleted when this lease ends
     friend bool operator==(const kv_compare_and_swap&, const kv_compare_and_swap&) = default;
 };
 
@@ -51,9 +53,9 @@
     friend bool operator==(const kv_delete&, const kv_delete&) = default;
 };
 
-// Waits until a key under the prefix is written after the revision, or until the wait is over.
-// Answers `ok` with the changed entries (none after a quiet wait); a deleted key comes with an
-// empty value and the revision of its deletion.
+// Waits until a key under the prefix is written after the revision, or until the wait time is over.
+// Returns `ok` with the changed entries (none if nothing changed); a deleted key has an empty value
+// and the revision of its deletion.
 struct kv_watch {
     std::string prefix;
     store_revision after = 0;
@@ -84,8 +86,8 @@
     conflict, // the expected revision was not the current one; `entries` holds the current entry if
               // any
     not_found,   // the key or lease is not there
-    unavailable, // certainly not applied: no connection, or refused by the service
-    unknown,     // may have been applied: the reply was lost or came too late
+    unavailable, // not applied: no connection, or refused by the service
+    unknown,     // may have been applied: the reply was lost or late
 };
 
 struct kv_reply {
--- a/coordination/include/pearhaven/coordination/membership.hpp
+++ b/coordination/include/pearhaven/coordination/membership.hpp
@@ -18,50 +18,53 @@
 
 struct membership_settings {
     member self;
-    std::vector<member_address> seeds; // asked while no peer is known and the store is out
+    std::vector<member_address> seeds; // probed while no peer is known, as when the store is down
     std::uint64_t seed = 0;            // of random choices; any number
 
     registration_settings registration;
-    decision::duration read_period = std::chrono::seconds{10}; // of the store's list, by readers
+    decision::duration read_period =
+        std::chrono::seconds{10}; // interval at which readers list the members in the store
     std::size_t readers_per_zone = 2;
 
     decision::duration probe_period = std::chrono::seconds{1};
-    decision::duration probe_timeout = std::chrono::milliseconds{300}; // then others are asked
+    decision::duration probe_timeout =
+        std::chrono::milliseconds{300}; // then the target is probed through other members
     std::size_t indirect_probes = 3;
-    double suspicion_periods = 4;  // times the logarithm (base 10) of the number of members
-    int periods_to_dead_probe = 5; // each so many periods, a dead member is probed as well
+    double suspicion_periods = 4; // suspicion timeout, multiplied by log10 of the number of members
+    int periods_to_dead_probe = 5; // a dead member is probed once in this many periods
 
-    std::size_t fresh_updates = 8;   // in one message: changes that are being spread
-    std::size_t joiner_updates = 64; // in the answer to a router that was not known before
+    std::size_t fresh_updates = 8;   // recent changes in one message
+    std::size_t joiner_updates = 64; // in the reply to a router that was unknown before
     std::size_t max_members = 2048;
     std::size_t max_dead = 512;
-    decision::duration dead_memory = std::chrono::seconds{60}; // longer than a store's lease
+    decision::duration dead_memory = std::chrono::seconds{60}; // longer than the lease in the store
 };
 
-// A member was heard of for the first time, or is in another state than before.
+// A member was seen for the first time, or its state changed.
 struct member_changed {
     member changed;
 
     friend bool operator==(const member_changed&, const member_changed&) = default;
 };
 
-// Knows which routers are alive. A router registers in the store under a lease, learns its peers
-// from there when it starts, and from then on by gossip: only a few readers in each availability
-// zone go on reading the list, so that the store's load does not grow with the fleet.
+// Tracks which routers are alive. A router registers in the store under a lease, learns its peers
+// from there at startup, and from then on by gossip. Only a few readers in each availability zone
+// keep reading the list, so that the load on the store does not grow with the fleet.
 //
 // Each period a router probes one peer, in random order without repetition. A peer that does not
-// answer is probed through others, which tells its death from a cut between the two; then it is
-// suspected, and this spreads with the next messages. It refutes by raising its sequence. Without
-// that, after a time that lets the word go round, it is dead. A dead member that still runs hears
-// of it by the occasional probe of the dead, and refutes that too: so cuts heal. All this costs
-// each member a constant number of messages of bounded size a second.
+// answer is probed through other members, which distinguishes a failed peer from a broken link
+// between the two. If that fails too, the peer is suspected, and the suspicion spreads with the
+// next messages. The peer refutes it by raising its sequence. Without a refutation it becomes dead
+// after a time that allows the suspicion to spread. A dead member that still runs is informed by
+// the occasional probe of dead members, and refutes that too, which repairs the membership after a
+// partition. All this costs each member a constant number of messages of bounded size per second.
 //
-// What a peer says of itself in a message that it sent proves nothing: it is alive when it answers.
-// So a router that can send but not hear, or hear but not send, becomes dead to all others, while
-// one that is cut off from a single peer does not.
+// A message that a peer sent does not prove that it is alive: a peer is alive when it answers a
+// probe. So a router that can send but not receive, or receive but not send, becomes dead to all
+// others, while one that is partitioned from a single peer does not.
 //
-// A router that was paused accuses nobody on waking: its open probe and suspicions are put off by
-// the length of the pause.
+// A router that was paused suspects nobody on resuming: its open probe is dropped, and its
+// suspicions are extended by the length of the pause.
 class membership {
 public:
     using action = std::variant<store_call, send_message, member_changed, unreadable_value>;
@@ -69,19 +72,19 @@
     // The codec must outlive the membership.
     membership(membership_settings settings, const member_codec& codec, decision::instant now);
 
-    // To be called every 100 ms or so.
+    // Must be called about every 100 ms.
     void on_tick(decision::instant now);
     void on_reply(call_tag tag, const kv_reply& reply, decision::instant now);
     void on_message(const member_address& from, const peer_message& message, decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
 
-    // Told to peers with the next messages.
+    // Sent to peers with the next messages.
     void set_config_revision(std::uint64_t revision);
 
-    // This router finishes its work and takes no duties more. It stays a member.
+    // This router completes its work and accepts no new duties. It stays a member.
     void leave(decision::instant now);
 
-    // This router stops now: the last call. Peers are told, so that none has to suspect it.
+    // This router stops now; no call may follow. Informs peers, so that none has to suspect it.
     void depart(decision::instant now);
 
     [[nodiscard]] const member& self() const { return this->own; }
@@ -89,16 +92,16 @@
     // All members but this router that are not dead.
     [[nodiscard]] std::vector<member> live() const;
 
-    // Of each zone, the few alive members that read the store for it: first by hash of their ids,
-    // so that all routers with the same view choose the same ones.
+    // The few alive members of each zone that read the store on its behalf, selected by a hash of
+    // their ids, so that all routers with the same view select the same ones.
     [[nodiscard]] std::set<incarnation_id> readers() const;
     [[nodiscard]] bool is_reader() const { return this->readers().count(this->own.id) != 0; }
 
 private:
     struct known_member {
         member record;
-        decision::instant since; // when this router learnt of the record's state
-        int sends_left = 0;      // messages that still carry the record
+        decision::instant since; // when this router learned the record's state
+        int sends_left = 0;      // messages that will still include the record
     };
     struct open_probe {
         std::uint64_t nonce = 0;
--- a/coordination/include/pearhaven/coordination/peer_exchange.hpp
+++ b/coordination/include/pearhaven/coordination/peer_exchange.hpp
@@ -14,7 +14,7 @@
 
 namespace pearhaven::coordination {
 
-// A router that can be talked to.
+// Address of a peer router.
 struct peer_router {
     std::string host; // IP number
     std::uint16_t port = 0;
@@ -27,37 +27,38 @@
     std::string self; // name of this router among the peers
     std::string zone;
 
-    // Time between two words about own loads. A choice between endpoints is as good as what it
-    // knows of them; in this time a fleet of nine begins some eight requests.
+    // Minimum time between two load reports. A choice between endpoints is only as good as the
+    // loads known to it; in this time a fleet of nine starts some eight requests.
     decision::duration load_period = std::chrono::milliseconds{100};
 
-    // The same word again, so that those who heard it go on counting it; a part of the time after
-    // which they would not.
+    // Interval at which an unchanged load report is repeated, so that its recipients keep counting
+    // it; a fraction of the time after which they would discard it.
     decision::duration repeat_period = std::chrono::milliseconds{400};
 
-    // Peers that hear of own loads, those in the zone first. It bounds what a large fleet sends;
-    // most requests stay in their zone.
+    // Maximum number of peers that receive this router's loads, those in its zone first. This
+    // bounds what a large fleet sends; most requests stay in their zone.
     std::size_t max_load_recipients = decision::told_usually;
 
-    // Peers that hear of what this router holds at an endpoint that many fill together.
+    // Maximum number of peers that receive this router's load at an endpoint that many routers fill
+    // at the same time.
     std::size_t max_filling_recipients = decision::told_when_filling;
 
-    // Time between two questions to peers while the store does not answer this router.
+    // Time between two pulls from peers while the store does not answer this router.
     decision::duration pull_period = std::chrono::milliseconds{300};
 
-    // The same for large values, after the first question; doubled with each one that has no answer
-    // yet. A configuration of half a megabyte takes that long from a peer whose link of 10 Mbit/s
-    // is in use, and longer where many ask. The answer to any of the questions is taken.
+    // The same for large values, after the first pull; doubled with each unanswered pull. A
+    // configuration of half a megabyte takes that long from a peer whose link of 10 Mbit/s is in
+    // use, and longer if many ask. The answer to any of the pulls is accepted.
     decision::duration large_pull_period = std::chrono::milliseconds{1500};
     decision::duration longest_large_pull_period = std::chrono::seconds{6};
-    std::uint64_t seed = 0; // spreads the routers' questions over the peers
+    std::uint64_t seed = 0; // distributes the routers' pulls over the peers
 };
 
-// How far this router has followed the store.
+// The state of this router's mirror of the store.
 struct mirror_status {
-    bool synchronized = false; // the store answers it
+    bool synchronized = false; // the store answers this router
     store_revision revision = 0;
-    bool lacks_large = false; // it knows of values that it was not told for their size
+    bool lacks_large = false; // values were omitted from updates because of their size
 
     friend bool operator==(const mirror_status&, const mirror_status&) = default;
 };
@@ -70,32 +71,33 @@
     friend bool operator==(const peer_send&, const peer_send&) = default;
 };
 
-// What routers tell each other beside the store: how much each holds at the endpoints, all the
-// time; and what the store says, to one that the store turns away. Nothing here is agreed upon:
-// each word is somebody's own knowledge, and a lost one is made good by the next.
+// Information that routers exchange without the store: each router's load at the endpoints, all the
+// time, and the store's content, for a router that the store does not serve. Nothing here is agreed
+// on: each message is the sender's own knowledge, and a lost one is made up for by the next.
 class peer_exchange {
 public:
     explicit peer_exchange(peer_exchange_settings chosen) : settings(std::move(chosen)) {}
 
-    // Peers by name. This router's own name is passed over.
+    // Peers by name. This router's own name is ignored.
     void set_peer(const std::string& name, const peer_router& where);
     void drop_peer(const std::string& name) { this->peers.erase(name); }
 
-    // `filling`: the part of the own load that is held at endpoints that many fill together.
+    // `filling`: the part of this router's load at endpoints that many routers fill at the same
+    // time.
     [[nodiscard]] std::vector<peer_send>
     on_tick(const std::vector<decision::endpoint_load>& own, const mirror_status& mirror,
             decision::instant now, const std::vector<decision::endpoint_load>& filling = {});
 
-    // The peers of this router's zone.
+    // The peers in this router's zone.
     [[nodiscard]] std::vector<peer_router> zone_peers() const;
 
-    // Whether the news answers an open question. One answer to each is taken.
+    // Whether the update answers an open pull. One answer to each pull is accepted.
     [[nodiscard]] bool accepts_answer(const mirror_update& news);
 
     [[nodiscard]] std::size_t size() const { return this->peers.size(); }
 
 private:
-    // Loads as they were told last.
+    // The loads last reported.
     struct told_word {
         std::vector<decision::endpoint_load> loads;
         decision::instant at;
--- a/coordination/include/pearhaven/coordination/peer_message.hpp
+++ b/coordination/include/pearhaven/coordination/peer_message.hpp
@@ -12,12 +12,12 @@
 
 namespace pearhaven::coordination {
 
-// Names one life of one router process: unique over restarts, drawn at start.
+// Identifies one incarnation of a router process: unique across restarts, drawn at startup.
 using incarnation_id = std::string;
 
 enum class member_state : std::uint8_t { alive, suspect, leaving, dead };
 
-// What a router knows of a router. Of two records of one incarnation the one with the higher
+// A router's record of a router. Of two records of one incarnation the one with the higher
 // `sequence` wins; at equal sequence the worse state wins.
 struct member {
     incarnation_id id;
@@ -25,14 +25,14 @@
     std::uint16_t peer_port = 0;
     std::uint16_t operator_port = 0;
     std::string zone;           // availability zone
-    std::uint64_t sequence = 0; // raised by the member itself to refute a suspicion
+    std::uint64_t sequence = 0; // increased by the member itself to refute a suspicion
     member_state state = member_state::alive;
     std::uint64_t config_revision = 0;
 
     friend bool operator==(const member&, const member&) = default;
 };
 
-// One object of the configuration as it is stored: its body is canonical JSON, empty when deleted.
+// One object of the configuration as stored: its body is canonical JSON, or empty if deleted.
 struct config_object {
     std::string kind;
     std::string name;
@@ -41,18 +41,18 @@
     friend bool operator==(const config_object&, const config_object&) = default;
 };
 
-// One accepted change: all its objects come into force together, as this revision.
+// One accepted change: all its objects take effect together, as this revision.
 struct config_change {
     std::uint64_t revision = 0;
     std::string write_id;
     std::string author;
-    std::uint64_t unix_ms = 0; // author's wall clock, for people only
+    std::uint64_t unix_ms = 0; // author's wall clock, for display only
     std::vector<config_object> objects;
 
     friend bool operator==(const config_change&, const config_change&) = default;
 };
 
-// The whole configuration at a revision, for routers that are too far behind for single changes.
+// The full configuration at a revision, for routers that are too far behind for single changes.
 struct config_snapshot {
     std::uint64_t revision = 0;
     std::vector<config_object> objects;
@@ -60,7 +60,7 @@
     friend bool operator==(const config_snapshot&, const config_snapshot&) = default;
 };
 
-// One finished request to be paid for. Bills are folded by `request`: two of one request count
+// One completed request to be billed. Bills are merged by `request`: two bills of one request count
 // once.
 struct bill {
     std::string request;
@@ -69,13 +69,14 @@
     std::string endpoint;
     std::uint64_t prompt_tokens = 0;
     std::uint64_t completion_tokens = 0;
-    std::uint64_t spent_tokens = 0; // tokens of attempts that gave no answer (escalation, retries)
+    std::uint64_t spent_tokens =
+        0; // tokens of attempts whose answer was not used (escalation, retries)
     double cost = 0.0;
 
     friend bool operator==(const bill&, const bill&) = default;
 };
 
-// Liveness question; `target` is set when it is asked on behalf of another router.
+// Liveness probe; `target` is set when it is sent on behalf of another router.
 struct probe {
     std::uint64_t nonce = 0;
     incarnation_id target;
@@ -89,14 +90,14 @@
     friend bool operator==(const probe_reply&, const probe_reply&) = default;
 };
 
-// Asks a peer for every change after the revision, and for how fresh its knowledge is.
+// Asks a peer for every change after the revision, and for the age of its configuration.
 struct config_pull {
     std::uint64_t nonce = 0;
     std::uint64_t revision = 0;
     friend bool operator==(const config_pull&, const config_pull&) = default;
 };
 
-// `age` is the time since the sender's knowledge was last confirmed by the store, counted from the
+// `age` is the time since the store last confirmed the sender's configuration, counted from the
 // start of that confirmation. `store_reachable` is false while the sender cannot read the store.
 struct config_update {
     std::uint64_t nonce = 0;
@@ -108,7 +109,7 @@
     friend bool operator==(const config_update&, const config_update&) = default;
 };
 
-// A copy of bills that the owner could not yet write to the store.
+// A copy of bills that the owner has not yet written to the store.
 struct bill_copy {
     incarnation_id owner;
     std::uint64_t page = 0;
@@ -122,7 +123,7 @@
     friend bool operator==(const bill_copy_ack&, const bill_copy_ack&) = default;
 };
 
-// The owner's pages up to and including this one are in the store: copies may go.
+// The owner's pages up to and including this one are in the store: their copies can be dropped.
 struct bill_copy_drop {
     incarnation_id owner;
     std::uint64_t page = 0;
@@ -137,9 +138,8 @@
     exposure_spent,      // subject: rollout name
 };
 
-// A small statement that every router should soon know. Of two facts of the same kind, subject and
-// author the one with the higher `sequence` holds. Facts are forgotten `time_to_live` after
-// arrival.
+// A small fact that every router should learn soon. Of two facts of the same kind, subject and
+// author the one with the higher `sequence` wins. Facts expire `time_to_live` after arrival.
 struct fact {
     fact_kind kind = fact_kind::endpoint_leaving;
     std::string subject;
@@ -155,31 +155,31 @@
     friend bool operator==(const fact_push&, const fact_push&) = default;
 };
 
-// All that the sender holds at the endpoints.
+// The sender's complete load at the endpoints.
 struct load_push {
     std::vector<decision::endpoint_load> loads;
     friend bool operator==(const load_push&, const load_push&) = default;
 };
 
-// Asks a peer for what has changed in the store after the revision, while the sender cannot read
-// the store itself.
+// Asks a peer for the changes in the store after the revision, while the sender cannot read the
+// store itself.
 struct mirror_pull {
     std::uint64_t nonce = 0;
     store_revision after = 0;
-    bool large = false; // with large values, which a plain answer leaves out
+    bool large = false; // include large values, which are omitted otherwise
     friend bool operator==(const mirror_pull&, const mirror_pull&) = default;
 };
 
-// The sender's mirror of the store, as of the revision: all of it, or what has changed after an
-// earlier one. A key that was removed has an empty value.
+// The content of the sender's mirror of the store, as of the revision: all of it, or the changes
+// after an earlier revision. A removed key has an empty value.
 struct mirror_update {
-    std::uint64_t nonce = 0; // of the question that it answers; 0 where nobody had to ask
+    std::uint64_t nonce = 0; // of the pull that it answers; 0 for an unsolicited update
     store_revision as_of = 0;
     bool complete = false;
     std::vector<kv_entry> entries;
-    store_revision after = 0;         // what is not whole is of use only up from there
-    decision::duration age{};         // since the store said so
-    store_revision first_omitted = 0; // lowest one of which the value is not told; 0 for none
+    store_revision after = 0;         // an incomplete update holds only changes after this revision
+    decision::duration age{};         // since the store's reply
+    store_revision first_omitted = 0; // lowest revision whose value is omitted; 0 for none
     friend bool operator==(const mirror_update&, const mirror_update&) = default;
 };
 
--- a/coordination/include/pearhaven/coordination/prefix_mirror.hpp
+++ b/coordination/include/pearhaven/coordination/prefix_mirror.hpp
@@ -18,33 +18,33 @@
 
 struct prefix_mirror_settings {
     std::string prefix;
-    // A watch can go deaf: after the store drops its history, one that began meanwhile was seen to
-    // wait out its whole time although changes were made. Its end brings them, so the wait is what
-    // such a watch costs; a shorter one costs a call each time.
+    // A watch can miss changes: after the store drops its history, a watch that began meanwhile was
+    // seen to wait until its timeout although changes were made. Its end delivers them, so this is
+    // the delay that such a watch adds; a shorter wait costs more calls.
     decision::duration watch_wait = std::chrono::seconds{2};
 
-    // The same where others go by what this router hears: how old that may be.
+    // The same when other routers rely on this mirror: limits the age of what they receive.
     decision::duration shared_watch_wait = std::chrono::milliseconds{500};
 
-    // Pause after a watch that brought changes. Endpoints that start together write one after the
-    // other; without it each write costs every router a call. It adds to the time in which a change
-    // is heard of, of which the strictest bound is two seconds.
+    // Delay after a watch that returned changes. Endpoints that start together write one after the
+    // other; without the delay each write costs every router a call. It adds to the time until a
+    // change is received, for which the strictest bound is two seconds.
     decision::duration change_batch_delay = std::chrono::milliseconds{150};
 
-    // The same where others go by what this router hears.
+    // The same when other routers rely on this mirror.
     decision::duration shared_change_batch_delay = std::chrono::milliseconds{150};
 
     // Whether the first list may be some seconds old, which costs the store less. The watch that
-    // follows brings what it lacks.
+    // follows delivers the missing changes.
     bool allow_stale_first_list = false;
     decision::duration first_retry = std::chrono::milliseconds{50}; // doubles with each failure
     decision::duration longest_retry = std::chrono::milliseconds{500};
 
-    // How long a key that is found missing just after the store was away is still taken to be
-    // there. Leases can run out while nobody can renew them; a live owner writes its key again
-    // within two seconds of the store's return.
+    // How long a key that is missing right after the store was unavailable is still treated as
+    // present. Leases can expire while nobody can renew them; a running owner writes its key again
+    // within two seconds of the store's recovery.
     decision::duration lapse_grace = std::chrono::milliseconds{2500};
-    std::uint64_t seed = 0; // spreads the retries of many routers; any number
+    std::uint64_t seed = 0; // distributes the retries of many routers; any number
 };
 
 // A key under the prefix has a new value.
@@ -56,17 +56,17 @@
 
 struct mirror_removed {
     std::string key;
-    store_revision revision = 0; // of the removal; 0 where a list lacks the key
+    store_revision revision = 0; // of the removal; 0 if the key is missing from a list
 
     friend bool operator==(const mirror_removed&, const mirror_removed&) = default;
 };
 
-// Everything that the store held has been told; sent after each whole list.
+// All entries of the store were reported; sent after each complete list.
 struct mirror_listed {
     friend bool operator==(const mirror_listed&, const mirror_listed&) = default;
 };
 
-// The store cannot be read, or can be again.
+// The store has become unreadable, or readable again.
 struct mirror_lost {
     friend bool operator==(const mirror_lost&, const mirror_lost&) = default;
 };
@@ -74,13 +74,13 @@
     friend bool operator==(const mirror_regained&, const mirror_regained&) = default;
 };
 
-// The news without their largest values, for many that hear them at once from one router: these
-// would share its link with its callers. A listener asks the store for what is left out.
+// The update without its largest values, for sending to many routers at once: large values would
+// take the sender's bandwidth to its callers. The recipients read omitted values from the store.
 [[nodiscard]] mirror_update without_large_values(mirror_update news);
 
-// Follows all keys under one prefix: a list, then watches from the list's revision, and a list
-// again where the store no longer holds the history that a watch needs. The revision of a key never
-// goes back, whatever order replies come in.
+// Mirrors all keys under one prefix: a list, then watches from the list's revision, and a new list
+// if the store no longer holds the history that a watch needs. The revision of a key never
+// decreases, whatever order replies arrive in.
 class prefix_mirror {
 public:
     using action = std::variant<store_call, mirror_changed, mirror_removed, mirror_listed,
@@ -88,42 +88,44 @@
 
     explicit prefix_mirror(prefix_mirror_settings settings);
 
-    // To be called every 100 ms or so.
+    // Must be called about every 100 ms.
     void on_tick(decision::instant now);
     void on_reply(call_tag tag, const kv_reply& reply, decision::instant now);
 
-    // What this mirror can tell one that has followed the store up to the revision; nothing while
-    // it does not follow the store itself.
+    // The update for a router that has followed the store up to the revision; empty while this
+    // mirror cannot read the store itself.
     [[nodiscard]] std::optional<mirror_update> updates_after(store_revision after) const;
 
-    // Another router's mirror tells what it holds. The store may turn some routers away while it
-    // serves the others and the operator: these would keep what is no longer in force, for as long
-    // as that lasts. Revisions make it safe to hear of a change from anybody, in any order. What
-    // the news leave out this mirror asks the store for, whether it follows others or not.
+    // Applies an update from another router's mirror. The store may refuse some routers while it
+    // serves the others and the operator; the refused ones would keep outdated state for as long as
+    // that lasts. Revisions make it safe to apply changes from any source, in any order. Values
+    // that the update omits are read from the store in every watch mode.
     void on_peer_update(const mirror_update& news);
 
-    // The store has served another router at that time, as that one says. It was not away then, for
-    // whoever keeps keys alive there.
+    // Another router reported that the store served it at that time. So the store was available
+    // then to the owners of keys for renewing their leases.
     void on_peer_served_by_store(decision::instant at);
 
-    // Whether others have told of changes without what changed, and the store has yet to say it.
+    // Whether peers have reported changes whose values were omitted and still have to be read from
+    // the store.
     [[nodiscard]] bool must_read_store() const { return this->watched < this->told_of; }
 
-    // Whether this mirror watches the store. One that follows others makes no calls once it has
-    // listed, and goes on from where they have brought it when it has to watch again.
+    // Sets whether this mirror watches the store. A follower makes no calls once it has its list,
+    // and when it has to watch again, it continues from the revision that peer updates have
+    // reached.
     void set_mode(watch_mode wanted) { this->mode = wanted; }
 
     // When the store last answered this mirror.
     [[nodiscard]] decision::instant confirmed_at() const { return this->confirmed; }
 
-    // The open call is given up, as when its connection has gone silent; the next one starts anew.
+    // Abandons the open call, as when its connection has stopped responding, and starts a new one.
     void restart(decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
 
     [[nodiscard]] bool is_synchronized() const { return this->failures == 0 && this->has_list; }
     [[nodiscard]] const std::map<std::string, kv_entry>& entries() const { return this->known; }
 
-    // Everything up to it has been heard of.
+    // All changes up to this revision have been received.
     [[nodiscard]] store_revision revision() const { return this->watched; }
 
 private:
@@ -146,30 +148,30 @@
     [[nodiscard]] bool has_served_others(decision::instant now) const;
 
     struct change {
-        store_revision revision = 0; // of the mirror when it heard of it, if not of the key itself
+        store_revision revision = 0; // of the key, or of the mirror when it learned of the change
         std::string key;
     };
 
     struct lapse {
-        store_revision revision = 0; // of the removal; 0 where a list lacks the key
-        store_revision seen_at = 0;  // the mirror's, up to which it was heard of
+        store_revision revision = 0; // of the removal; 0 if the key is missing from a list
+        store_revision seen_at = 0;  // revision of the mirror at which the key was found missing
         decision::instant until;
     };
 
     prefix_mirror_settings settings;
     std::map<std::string, kv_entry> known;
-    std::map<std::string, lapse> lapsed;           // missing, but still taken to be there
-    std::map<std::string, store_revision> removed; // of watched removals, until the next list
+    std::map<std::string, lapse> lapsed;           // missing, but still treated as present
+    std::map<std::string, store_revision> removed; // removals seen by watches, until the next list
     bool has_list = false;
     bool needs_list = true;
     bool has_asked = false; // for any list
     store_revision watched = 0;
-    decision::instant served_others_since; // without a longer gap than a key may be missing for
+    decision::instant served_others_since; // without a gap longer than `lapse_grace`
     decision::instant served_others_at;
-    store_revision told_of = 0;         // up to there others know of changes
-    store_revision told_of_at_call = 0; // when the open call was made
-    std::deque<change> changes;         // the newest ones, for others, in no order of revision
-    store_revision changes_since = 0;   // all after it are among them
+    store_revision told_of = 0;         // highest revision reported by peers with omitted values
+    store_revision told_of_at_call = 0; // value when the open call was made
+    std::deque<change> changes;         // the latest ones, for peers; not sorted by revision
+    store_revision changes_since = 0;   // `changes` holds all changes after this revision
     std::optional<call_tag> open_call;
     call_tag next_tag = 1;
     std::uint32_t failures = 0;
--- a/coordination/include/pearhaven/coordination/registration.hpp
+++ b/coordination/include/pearhaven/coordination/registration.hpp
@@ -27,10 +27,10 @@
     decision::duration longest_retry = std::chrono::seconds{5};
 };
 
-// Keeps one value in the store for as long as this process lives: under a lease that is renewed in
-// a third of its time, and again under a new lease when that has lapsed. The key is this process's
-// alone. A write whose reply was lost is settled by reading the key: whatever stands there hangs on
-// the lease that is held, since with a lapsed one its keys have gone.
+// Keeps one value in the store for as long as this process runs: under a lease that is renewed at a
+// third of its time to live, and under a new lease if that one has expired. Only this process
+// writes the key. If the reply to a write was lost, the key is read: a value found there is
+// attached to the current lease, since an expired lease takes its keys with it.
 class registration {
 public:
     registration(registration_settings settings, std::string key, std::string value,
@@ -38,13 +38,13 @@
 
     void on_tick(decision::instant now);
 
-    // False where the tag is not of one of this part's calls.
+    // False if the tag does not belong to a call of this component.
     bool on_reply(call_tag tag, const kv_reply& reply, decision::instant now);
 
-    // Ends the lease, and the value with it. No call follows.
+    // Revokes the lease, which deletes the value. No call may follow.
     void end();
 
-    // The tags begin at `first_tag` and rise.
+    // The tags start at `first_tag` and increase.
     [[nodiscard]] std::vector<store_call> take_calls();
     static constexpr call_tag first_tag = call_tag{1} << 62U;
 
--- a/coordination/include/pearhaven/coordination/watch_share.hpp
+++ b/coordination/include/pearhaven/coordination/watch_share.hpp
@@ -11,39 +11,39 @@
 
 namespace pearhaven::coordination {
 
-// How a router keeps up with the store.
+// How a router learns of changes in the store.
 enum class watch_mode : std::uint8_t {
-    independent, // by watches of its own
-    watcher,     // by short watches of its own, and passes on what they bring
-    follower,    // by what the watchers of its availability zone pass on
+    independent, // with its own watches
+    watcher,     // with its own short watches, whose changes it forwards to its zone
+    follower,    // from the watchers of its availability zone
 };
 
 struct watch_share_settings {
     std::string self; // name of this router among its peers
     std::string zone;
 
-    // Routers of a zone that watch for the others. Of two, one may die, be cut off or go deaf, and
-    // nobody hears a change later for it.
+    // Number of routers in a zone that watch for the others. One of two may crash, be partitioned
+    // or have a watch that misses changes, without delaying a change for anybody.
     std::size_t watcher_count = 2;
 
-    // Routers of a zone from which on they share watches. Watches for others are short, and a few
+    // Minimum number of routers in a zone for sharing watches. Shared watches are short, and a few
     // of them cost as many calls as eight long ones.
     std::size_t min_routers_to_share = 8;
 
-    // How old the store's word may be that a follower goes by. A follower that has no younger one
-    // watches itself. The strictest bound on hearing of a configuration is two seconds; this leaves
-    // the time of a call and of a busy loop.
+    // Maximum age of the store state that a follower relies on. A follower without a newer update
+    // watches the store itself. The strictest bound on receiving a configuration is two seconds;
+    // this leaves the time of a call and of a busy event loop.
     decision::duration update_lifetime = std::chrono::milliseconds(1200);
 
-    // Followers that lose their watchers turn to the store over this time, not all at once.
+    // Followers that lose their watchers start to watch the store over this time, not all at once.
     decision::duration fallback_spread = std::chrono::milliseconds(200);
 };
 
-// Divides the watching of the store among the routers of a zone. With a watch of its own for each,
-// every write costs as many calls as there are routers, since it wakes all of them. Who watches
-// follows from the names of the live routers alone, alike everywhere and without a write; who hears
-// nothing in time watches for itself, so that a wrong idea of the others costs calls and nothing
-// else.
+// Divides the watching of the store among the routers of a zone. If each router watched for itself,
+// every write would wake all of them and cost as many calls as there are routers. The watchers are
+// selected by the names of the live routers alone, so all routers select the same ones without a
+// write. A router that receives nothing in time watches for itself, so a wrong view of the others
+// only costs calls.
 class watch_share {
 public:
     explicit watch_share(watch_share_settings chosen) : settings(std::move(chosen)) {}
@@ -52,8 +52,8 @@
     void set_peer(const std::string& name, const std::string& zone);
     void drop_peer(const std::string& name) { this->zone_peers.erase(name); }
 
-    // A watcher's word: nothing up to `as_of` was missing `age` before it came. `revision` is what
-    // this router knows itself; a word that is behind it says nothing.
+    // An update from a watcher: `age` before its arrival it held every change up to `as_of`.
+    // `revision` is what this router has received itself; an update behind it is ignored.
     void on_watcher_update(store_revision as_of, store_revision revision, decision::duration age,
                            decision::instant now);
 
@@ -64,7 +64,7 @@
 
     watch_share_settings settings;
     std::map<std::string, std::uint64_t>
-        zone_peers; // routers of the zone but this one, with their ranks
+        zone_peers; // the other routers of the zone, with their ranks
     decision::instant fresh_until;
 };
 
