--- a/coordination/test/config_replica_test.cpp
+++ b/coordination/test/config_replica_test.cpp
@@ -17,10 +17,10 @@
     return {revision, "w" + std::to_string(revision), "ama", 0, {{"team", name, body}}};
 }
 
-// Replicas that all know each other, of which the first few read the store.
+// Replicas that all know each other; the first few read the store.
 struct replica_fleet : fleet<config_replica> {
     replica_fleet(std::uint64_t seed, std::size_t size, std::size_t readers)
-        : fleet(seed, size), reader_count(readers), highest(size, 0)
+        : fleet(seed, size), reader_count(readers), highest_revision(size, 0)
     {
         this->start_all();
     }
@@ -39,7 +39,7 @@
     {
         std::vector<config_peer> live;
         for (const std::size_t other : this->running()) {
-            if (other != node && this->known.count(other) != 0) {
+            if (other != node && this->live_nodes.count(other) != 0) {
                 live.push_back({this->address(other), "osu", other < this->reader_count});
             }
         }
@@ -50,12 +50,12 @@
     void replace(std::size_t node)
     {
         this->stop(node);
-        // After a restart, a host can know no more than what some router still holds.
+        // After a restart, a host can only recover a revision that some router still holds.
         std::uint64_t held = 0;
         for (const std::size_t other : this->running()) {
             held = std::max(held, this->nodes[other]->current()->revision());
         }
-        this->highest[node] = std::min(this->highest[node], held);
+        this->highest_revision[node] = std::min(this->highest_revision[node], held);
         this->start(node);
     }
 
@@ -88,7 +88,8 @@
                           [&](instant written) { return written < when; }));
     }
 
-    // What is in force is the true state at its revision, and newer than any before it.
+    // Each applied configuration is the accepted state at its revision, and newer than any before
+    // it.
     void on_action(std::size_t node, const config_replica::action& action) override
     {
         if (const auto* newer = std::get_if<config_applied>(&action)) {
@@ -100,9 +101,9 @@
         }
     }
 
-    // A ready router is not behind the host's earlier lives, and holds all that was accepted before
-    // the instant that it takes for confirmed.
-    void check_claims()
+    // A ready router is not behind the host's earlier incarnations, and holds everything accepted
+    // before the instant that it reports as confirmed.
+    void check_invariants()
     {
         for (const std::size_t node : this->running()) {
             const auto& replica = *this->nodes[node];
@@ -112,8 +113,8 @@
                 ++this->faults;
             }
             if (replica.is_ready()) {
-                this->faults += revision < this->highest[node] ? 1 : 0;
-                this->highest[node] = revision;
+                this->faults += revision < this->highest_revision[node] ? 1 : 0;
+                this->highest_revision[node] = revision;
             }
         }
     }
@@ -125,7 +126,7 @@
         }) == this->nodes.size();
     }
 
-    std::size_t working() const
+    std::size_t count_accepting_work() const
     {
         return this->count_running([this](const config_replica& node) {
             return node.may_take_new_work(this->clock.now());
@@ -133,9 +134,9 @@
     }
 
     table_config_codec codec;
-    std::set<std::size_t> known{0, 1, 2, 3, 4, 5, 6, 7, 8}; // to membership
+    std::set<std::size_t> live_nodes{0, 1, 2, 3, 4, 5, 6, 7, 8}; // live nodes as seen by membership
     std::size_t reader_count;
-    std::vector<std::uint64_t> highest;
+    std::vector<std::uint64_t> highest_revision;
     std::map<incarnation_id, std::uint64_t> last_in_force;
     std::vector<config_state_ptr> states{config_state_ptr(new config_state)};
     std::vector<instant> written_at;
@@ -173,7 +174,7 @@
 
 TEST_GROUP(config_replica_test){};
 
-TEST(config_replica_test, a_change_is_in_force_everywhere_within_two_seconds)
+TEST(config_replica_test, a_change_takes_effect_everywhere_within_two_seconds)
 {
     replica_fleet fleet(1, 6, 2);
     fleet.clock.run_for(seconds{3});
@@ -183,7 +184,7 @@
     CHECK_EQUAL(0, fleet.faults);
 }
 
-TEST(config_replica_test, routers_that_do_not_read_ask_the_store_nothing_while_all_is_well)
+TEST(config_replica_test, routers_that_are_no_readers_make_no_store_calls_without_faults)
 {
     replica_fleet fleet(2, 6, 2);
     fleet.clock.run_for(seconds{3});
@@ -193,7 +194,7 @@
     CHECK_COMPARE(fleet.store.calls - before, <=, watches);
 }
 
-TEST(config_replica_test, a_replica_left_behind_the_head_takes_the_snapshot)
+TEST(config_replica_test, a_replica_too_far_behind_the_head_loads_the_snapshot)
 {
     replica_fleet fleet(3, 3, 2);
     for (int count = 0; count < 9; ++count) {
@@ -204,10 +205,10 @@
     CHECK_EQUAL(0, fleet.faults);
 }
 
-// The store refuses each call for a while, or leaves it without any answer until it times out.
-// Nobody can change anything meanwhile, and all routers can tell each other so: callers see no
-// refusal at any moment, also not while the routers find it out.
-static void check_work_through_an_outage(duration time_to_fail)
+// The store refuses all calls for a while, or leaves them unanswered until they time out. Nobody
+// can change anything meanwhile, and the routers can tell each other so: new work must be accepted
+// at every moment, also before the outage is detected.
+static void check_work_during_outage(duration time_to_fail)
 {
     for (int phase = 0; phase < 20; ++phase) {
         replica_fleet fleet(4, 9, 2);
@@ -218,23 +219,24 @@
         fleet.store.time_to_fail = time_to_fail;
         for (int step = 0; step < 100; ++step) {
             fleet.clock.run_for(milliseconds{100});
-            CHECK_EQUAL(9U, fleet.working());
+            CHECK_EQUAL(9U, fleet.count_accepting_work());
         }
     }
 }
 
-TEST(config_replica_test, work_goes_on_through_an_outage_in_which_the_store_refuses_calls)
+TEST(config_replica_test, new_work_is_accepted_during_an_outage_in_which_the_store_refuses_calls)
 {
-    check_work_through_an_outage(duration{});
+    check_work_during_outage(duration{});
 }
 
-TEST(config_replica_test, work_goes_on_through_an_outage_in_which_the_store_is_silent)
+TEST(config_replica_test, new_work_is_accepted_during_an_outage_in_which_store_calls_time_out)
 {
-    check_work_through_an_outage(seconds{2});
+    check_work_during_outage(seconds{2});
 }
 
-// A router dies during an outage and nobody has noticed yet. The others go on without its word.
-TEST(config_replica_test, the_loss_of_a_peer_during_an_outage_stops_nobody)
+// A router fails during an outage and is not detected yet. The others must continue without its
+// answer.
+TEST(config_replica_test, the_loss_of_a_peer_during_an_outage_stops_no_other_router)
 {
     replica_fleet fleet(8, 6, 2);
     fleet.clock.run_for(seconds{5});
@@ -243,14 +245,14 @@
     fleet.paused[5] = true;
     for (int step = 0; step < 100; ++step) {
         fleet.clock.run_for(milliseconds{100});
-        CHECK_COMPARE(fleet.working(), >=, 5U);
+        CHECK_COMPARE(fleet.count_accepting_work(), >=, 5U);
     }
 }
 
-// Two of six routers lose both the store and the others. A version may be withdrawn on the other
-// side at any time, so they stop taking work after the bound, and go on doing so when their
-// membership has long given up the others; the four others go on.
-TEST(config_replica_test, a_minority_cut_off_from_store_and_peers_stops_taking_work)
+// Two of six routers are partitioned from both the store and the others. A version may be withdrawn
+// on the other side at any time, so they must stop accepting work after the bound, also after their
+// membership has removed the others; the four others continue.
+TEST(config_replica_test, a_minority_partitioned_from_store_and_peers_stops_accepting_work)
 {
     replica_fleet fleet(5, 6, 1);
     fleet.clock.run_for(seconds{5});
@@ -261,16 +263,16 @@
         }
     }
     fleet.clock.run_for(seconds{4});
-    CHECK_EQUAL(4U, fleet.working());
-    fleet.known = {4, 5};
+    CHECK_EQUAL(4U, fleet.count_accepting_work());
+    fleet.live_nodes = {4, 5};
     fleet.clock.run_for(seconds{10});
     CHECK_FALSE(fleet.nodes[4]->may_take_new_work(fleet.clock.now()));
     CHECK_FALSE(fleet.nodes[5]->may_take_new_work(fleet.clock.now()));
 }
 
-// One zone loses its way to the store while the others keep it. Its routers hear from the others
-// and stay both fresh and at work.
-TEST(config_replica_test, routers_cut_off_from_the_store_alone_follow_their_peers)
+// One zone loses its connection to the store while the others keep it. Its routers must stay fresh
+// and continue to work by means of their peers.
+TEST(config_replica_test, routers_partitioned_only_from_the_store_follow_their_peers)
 {
     replica_fleet fleet(6, 6, 2);
     fleet.clock.run_for(seconds{5});
@@ -279,14 +281,15 @@
     fleet.write(false);
     fleet.clock.run_for(seconds{3});
     CHECK_TRUE(fleet.all_at(1));
-    CHECK_EQUAL(6U, fleet.working());
+    CHECK_EQUAL(6U, fleet.count_accepting_work());
     CHECK_FALSE(fleet.nodes[4]->is_outage_agreed(fleet.clock.now()));
 }
 
-// A router without the store, whose pulls the test answers. The reply to a pull of a peer that is
-// not listed never comes.
-struct lone_replica {
-    explicit lone_replica(const std::vector<std::string>& peers) : replica({"a", "osu"}, codec, now)
+// A router without the store, whose pulls the test answers. Pulls from a peer that is not listed
+// are never answered.
+struct isolated_replica {
+    explicit isolated_replica(const std::vector<std::string>& peers)
+        : replica({"a", "osu"}, codec, now)
     {
         std::vector<config_peer> live;
         live.reserve(peers.size());
@@ -320,44 +323,48 @@
     config_replica replica;
 };
 
-static const config_update cut_off{0, 0, seconds{9}, false, {}, {}};
-static const config_update reading{0, 0, seconds{9}, true, {}, {}};
+static const config_update store_unreachable{0, 0, seconds{9}, false, {}, {}};
+static const config_update store_readable{0, 0, seconds{9}, true, {}, {}};
 static const config_update starting{0, 0, duration::max(), false, {}, {}};
 
-// This router cannot read the store, and what it knows grows old. One of its two peers still reads:
-// a withdrawal can come through there at any time, so that there is no outage to agree on.
-TEST(config_replica_test, one_peer_that_reaches_the_store_forbids_to_agree_on_an_outage)
+// This router cannot read the store, and its copy ages. One of its two peers still reads the store:
+// a withdrawal can arrive there at any time, so there must be no agreement on an outage.
+TEST(config_replica_test, one_peer_that_reaches_the_store_prevents_agreement_on_an_outage)
 {
-    lone_replica lone({"b", "c"});
-    lone.answer({{"b", cut_off}, {"c", cut_off}});
-    CHECK_TRUE(lone.replica.is_outage_agreed(lone.now));
-    lone.answer({{"b", cut_off}, {"c", reading}});
-    CHECK_FALSE(lone.replica.is_outage_agreed(lone.now));
+    isolated_replica isolated({"b", "c"});
+    isolated.answer({{"b", store_unreachable}, {"c", store_unreachable}});
+    CHECK_TRUE(isolated.replica.is_outage_agreed(isolated.now));
+    isolated.answer({{"b", store_unreachable}, {"c", store_readable}});
+    CHECK_FALSE(isolated.replica.is_outage_agreed(isolated.now));
 }
 
-// The former life of this host, and one of its four peers, had revision 1 in force. The three
-// others are a majority, but to be ready after their word alone would be to go back.
-TEST(config_replica_test, a_start_during_an_outage_waits_for_the_last_live_peer)
+// The previous incarnation on this host, and one of its four peers, had revision 1. The other three
+// peers are a majority, but becoming ready after their answers alone would revert to an older
+// revision.
+TEST(config_replica_test, a_startup_during_an_outage_waits_for_every_live_peer)
 {
-    lone_replica lone({"b", "c", "d", "e"});
-    lone.answer({{"b", cut_off}, {"c", cut_off}, {"d", cut_off}});
-    CHECK_FALSE(lone.replica.is_ready());
+    isolated_replica isolated({"b", "c", "d", "e"});
+    isolated.answer({{"b", store_unreachable}, {"c", store_unreachable}, {"d", store_unreachable}});
+    CHECK_FALSE(isolated.replica.is_ready());
     const config_update ahead{0, 1, seconds{9}, false, {change_to(1, "x", "1")}, {}};
-    lone.answer({{"b", cut_off}, {"c", cut_off}, {"d", cut_off}, {"e", ahead}});
-    CHECK_TRUE(lone.replica.is_ready());
-    CHECK_EQUAL(1U, lone.replica.current()->revision());
+    isolated.answer({{"b", store_unreachable},
+                     {"c", store_unreachable},
+                     {"d", store_unreachable},
+                     {"e", ahead}});
+    CHECK_TRUE(isolated.replica.is_ready());
+    CHECK_EQUAL(1U, isolated.replica.current()->revision());
 }
 
 TEST(config_replica_test, routers_that_all_start_during_an_outage_do_not_make_each_other_ready)
 {
-    lone_replica lone({"b", "c"});
-    lone.answer({{"b", starting}, {"c", starting}});
-    CHECK_FALSE(lone.replica.is_ready());
+    isolated_replica isolated({"b", "c"});
+    isolated.answer({{"b", starting}, {"c", starting}});
+    CHECK_FALSE(isolated.replica.is_ready());
 }
 
-// A router is replaced during an outage. Its former life had revision 1 in force, so that it must
-// not serve before it has that again, which only its peers can tell.
-TEST(config_replica_test, a_start_during_an_outage_waits_for_the_highest_revision_of_peers)
+// A router is replaced during an outage. Its previous incarnation had revision 1, so it must not
+// serve before it holds that revision again, which only its peers can provide.
+TEST(config_replica_test, a_startup_during_an_outage_waits_for_the_highest_revision_of_peers)
 {
     replica_fleet fleet(7, 4, 2);
     fleet.write(false);
@@ -377,8 +384,8 @@
     CHECK_TRUE(fleet.nodes[3]->may_take_new_work(fleet.clock.now()));
 }
 
-// An answer to an early read of the head comes after a later one was applied.
-TEST(config_replica_test, a_slow_old_reply_does_not_bring_back_an_old_revision)
+// The reply to an early read of the head arrives after a later head was applied.
+TEST(config_replica_test, a_late_old_reply_does_not_revert_the_revision)
 {
     table_config_codec codec;
     const instant start{seconds{1}};
@@ -398,7 +405,7 @@
     CHECK_TRUE(replica.is_ready());
 }
 
-TEST(config_replica_test, an_answer_confirms_no_more_than_the_start_of_its_pull_less_its_age)
+TEST(config_replica_test, an_answer_confirms_only_the_start_of_its_pull_minus_its_age)
 {
     table_config_codec codec;
     const instant start{seconds{100}};
@@ -424,11 +431,11 @@
     CHECK_FALSE(replica.confirmed_age(start).has_value());
 }
 
-// Random outages, cuts, restarts, slow and lost messages. At all times each router's state is the
-// accepted one at its revision, the revision never falls (for a ready router: nor below that of the
-// host's earlier lives), and all that was accepted before the confirmed instant is in force. When
-// the faults end, all routers agree.
-TEST(config_replica_test, no_schedule_of_faults_reverts_a_router_or_falsifies_its_age)
+// Random outages, partitions, restarts, slow and lost messages. At all times each router's state is
+// the accepted one at its revision, the revision never decreases (for a ready router not below that
+// of the host's earlier incarnations), and everything accepted before the confirmed instant is
+// applied. When the faults end, all routers agree.
+TEST(config_replica_test, no_schedule_of_faults_reverts_a_revision_or_invalidates_the_confirmed_age)
 {
     const bool held = holds_for_seeds("replicas", [](std::uint64_t seed) {
         replica_fleet fleet(seed, 5, 2);
@@ -438,7 +445,7 @@
         for (int step = 0; step < 60; ++step) {
             random_fault(fleet);
             fleet.clock.run_for(fleet.clock.delay(milliseconds{1500}));
-            fleet.check_claims();
+            fleet.check_invariants();
         }
         fleet.end_faults();
         fleet.write(false);
--- a/coordination/test/config_writer_test.cpp
+++ b/coordination/test/config_writer_test.cpp
@@ -17,12 +17,12 @@
     return {write_id, "author of " + write_id, 7, seen, {{"team", name, "body " + write_id}}};
 }
 
-// Operators that write to one store, each one edit at a time.
+// Operators that write to one store, one edit at a time each.
 struct writer_bench : fleet<config_writer> {
     explicit writer_bench(std::uint64_t seed) : fleet(seed, 4), current(4), writes_left(4)
     {
         this->settings.head_changes = 4;
-        this->settings.page_bytes = 1; // a page for each object, as far as hashes allow
+        this->settings.page_bytes = 1; // one page for each object, unless hashes collide
         this->store.on_write = [this](const kv_entry& entry) {
             if (entry.key == config_head_key) {
                 this->accept(this->codec.read_head(entry.value).value());
@@ -50,7 +50,7 @@
     {
         if (this->nodes[node]->is_done()) {
             this->stop(node);
-            this->operate(node);
+            this->run_operator(node);
         }
     }
 
@@ -62,8 +62,8 @@
         return this->results.at(edit.write_id);
     }
 
-    // One operator: looks, ponders, writes, again and again.
-    void operate(std::size_t node)
+    // One operator: reads, waits, writes, and repeats.
+    void run_operator(std::size_t node)
     {
         if (this->writes_left[node]-- <= 0) {
             return;
@@ -75,7 +75,7 @@
         this->clock.after(this->clock.delay(milliseconds{100}), [=, this] { this->start(node); });
     }
 
-    // Each head follows the one before it by one change, and can be read in whole.
+    // Each head adds one change to the previous one, and its state can be read completely.
     void accept(const config_head& head)
     {
         this->faults += head.revision != this->order.size() + 1 ? 1 : 0;
@@ -88,29 +88,30 @@
                 assembly.add_page(key, this->codec.read_page(page->value).value());
             }
         }
-        const bool whole = assembly.is_complete() && assembly.build()->revision() == head.revision;
-        this->faults += whole ? 0 : 1;
+        const bool is_readable =
+            assembly.is_complete() && assembly.build()->revision() == head.revision;
+        this->faults += is_readable ? 0 : 1;
         this->faults += assembly.build()->objects() != this->states.back()->objects() ? 1 : 0;
     }
 
-    // Every accepted edit is in the order once, at its revision and on the objects that its
-    // author saw; none that was refused is there.
+    // Every accepted edit is in the order once, at its revision and based on the objects that its
+    // author read; no rejected edit is in it.
     void check_history()
     {
         for (const auto& result : this->results) {
             const std::string& write_id = result.first;
             const config_write_done& done = result.second;
-            const auto places =
+            const auto occurrences =
                 std::count_if(this->order.begin(), this->order.end(),
                               [&](const auto& change) { return change.write_id == write_id; });
             if (!done.error) {
-                const bool placed = done.revision - 1 < this->order.size() &&
-                                    this->order[done.revision - 1].write_id == write_id;
-                this->faults += placed && places == 1 ? 0 : 1;
+                const bool is_in_order = done.revision - 1 < this->order.size() &&
+                                         this->order[done.revision - 1].write_id == write_id;
+                this->faults += is_in_order && occurrences == 1 ? 0 : 1;
             } else if (done.error != coordination_error::outcome_unknown) {
-                this->faults += static_cast<int>(places);
+                this->faults += static_cast<int>(occurrences);
             }
-            this->faults += places > 1 ? 1 : 0;
+            this->faults += occurrences > 1 ? 1 : 0;
         }
         for (const config_change& change : this->order) {
             const std::uint64_t seen = this->edits[change.write_id].seen_revision;
@@ -137,7 +138,7 @@
 
 TEST_GROUP(config_writer_test){};
 
-TEST(config_writer_test, an_edit_goes_through_though_the_head_moved_on_with_other_objects)
+TEST(config_writer_test, an_edit_succeeds_if_the_head_advanced_only_in_other_objects)
 {
     writer_bench bench(1);
     bench.write_and_wait(edit_of("w1", 0, "a"));
@@ -146,9 +147,9 @@
     CHECK_EQUAL(2U, done.revision);
 }
 
-// Two operators change one selector after both had looked at the same revision. The second is told
-// of the first's change and by whom, and the first's stands.
-TEST(config_writer_test, an_edit_of_an_object_that_was_changed_since_is_a_conflict)
+// Two operators change the same object after both had read the same revision. The second gets a
+// conflict that names the first change and its author, and the first change stays.
+TEST(config_writer_test, an_edit_of_an_object_changed_meanwhile_is_a_conflict)
 {
     writer_bench bench(2);
     bench.write_and_wait(edit_of("w1", 0, "a"));
@@ -172,10 +173,9 @@
     CHECK_COMPARE(head->snapshot_revision, >, 0U);
 }
 
-// A page with the wanted content is left over from an earlier snapshot. Whoever removes unused
-// pages may have found it unused, and is about to: its newer revision tells it that the page is
-// wanted.
-TEST(config_writer_test, a_page_that_is_there_already_is_written_again)
+// A page with the needed content is left over from an earlier snapshot. A cleanup that found it
+// unused may be about to delete it; its newer revision shows that it is in use again.
+TEST(config_writer_test, an_existing_page_is_written_again)
 {
     writer_bench bench(7);
     for (std::uint64_t write = 0; write < 5; ++write) {
@@ -192,7 +192,7 @@
     CHECK_COMPARE(bench.store.find(page)->revision, >, first);
 }
 
-TEST(config_writer_test, a_head_is_not_swapped_in_long_after_its_pages_were_written)
+TEST(config_writer_test, a_head_is_not_written_after_its_pages_validity_expired)
 {
     writer_bench bench(8);
     bench.settings.page_validity = seconds{-1};
@@ -203,7 +203,7 @@
     CHECK_TRUE(bench.results["4"].error == coordination_error::store_unavailable);
 }
 
-TEST(config_writer_test, a_view_older_than_the_kept_changes_is_refused_as_stale)
+TEST(config_writer_test, a_view_older_than_the_kept_changes_is_rejected_as_stale)
 {
     writer_bench bench(4);
     for (std::uint64_t write = 0; write < 8; ++write) {
@@ -213,7 +213,7 @@
                coordination_error::stale_view);
 }
 
-TEST(config_writer_test, an_edit_that_no_value_can_hold_is_refused)
+TEST(config_writer_test, an_edit_exceeding_the_maximum_value_size_is_rejected)
 {
     writer_bench bench(5);
     bench.settings.value_bytes = 0;
@@ -221,7 +221,7 @@
     CHECK_EQUAL(0U, bench.order.size());
 }
 
-TEST(config_writer_test, without_the_store_the_write_ends_as_not_applied)
+TEST(config_writer_test, a_write_without_the_store_ends_as_not_applied)
 {
     writer_bench bench(6);
     bench.store.down = true;
@@ -229,10 +229,10 @@
                coordination_error::store_unavailable);
 }
 
-// The swap took effect, its reply was lost, and another operator's change of the same object
-// followed before the writer looked again. Were the swap repeated on the new head, the other's
-// change would be undone; were the edit judged anew, it would be told as a conflict with itself.
-TEST(config_writer_test, a_lost_reply_is_settled_by_the_write_id_though_others_followed)
+// The swap took effect, its reply was lost, and another operator changed the same object before the
+// writer read the head again. Repeating the swap on the new head would undo the other change;
+// evaluating the edit again would report a conflict with itself.
+TEST(config_writer_test, a_lost_reply_is_resolved_by_the_write_id_despite_later_changes)
 {
     table_config_codec codec;
     config_writer writer({}, codec);
@@ -254,7 +254,7 @@
                (config_write_done{{}, 1, {}}));
 }
 
-// Three operators race with lost and late replies and a store that fails now and then.
+// Three operators compete with lost and late replies and a store that fails now and then.
 TEST(config_writer_test, every_reported_outcome_agrees_with_the_order_of_changes)
 {
     const bool held = holds_for_seeds("writers", [](std::uint64_t seed) {
@@ -263,7 +263,7 @@
         bench.store.longest_delay = milliseconds{60};
         for (const std::size_t node : {1U, 2U, 3U}) {
             bench.writes_left[node] = 8;
-            bench.operate(node);
+            bench.run_operator(node);
         }
         for (int step = 0; step < 20; ++step) {
             bench.store.down = bench.clock.chance(20);
--- a/coordination/test/fact_table_test.cpp
+++ b/coordination/test/fact_table_test.cpp
@@ -40,7 +40,7 @@
         this->nodes[0]->publish(kind, subject, value, time_to_live, this->clock.now());
     }
 
-    std::size_t knowing(std::string_view subject, double value) const
+    std::size_t count_knowing(std::string_view subject, double value) const
     {
         return this->count_running([&](const fact_table& table) {
             const auto found = table.about(kind, subject);
@@ -53,33 +53,33 @@
 
 TEST_GROUP(fact_table_test){};
 
-TEST(fact_table_test, a_fact_is_known_everywhere_within_two_seconds_and_then_costs_nothing)
+TEST(fact_table_test, a_fact_spreads_everywhere_within_two_seconds_and_then_costs_no_messages)
 {
     fact_fleet fleet(1, 40);
     fleet.publish("10.0.0.1:80", 1, seconds{60});
     fleet.clock.run_for(seconds{2});
-    CHECK_EQUAL(40U, fleet.knowing("10.0.0.1:80", 1));
+    CHECK_EQUAL(40U, fleet.count_knowing("10.0.0.1:80", 1));
     fleet.clock.run_for(seconds{5});
     const std::uint64_t before = fleet.net.sent;
     fleet.clock.run_for(seconds{10});
     CHECK_EQUAL(before, fleet.net.sent);
 }
 
-// Copies of a fact go round for some time. Were each taken with its whole time again, the fact
-// would outlive its author's will for ever.
-TEST(fact_table_test, a_fact_is_forgotten_everywhere_when_its_time_is_over)
+// Copies of a fact circulate for some time. If each were accepted with its full time to live again,
+// the fact would never expire.
+TEST(fact_table_test, a_fact_expires_everywhere_after_its_time_to_live)
 {
     fact_fleet fleet(2, 10);
     fleet.publish("a", 1, seconds{3});
     fleet.clock.run_for(milliseconds{2500});
-    CHECK_EQUAL(10U, fleet.knowing("a", 1));
+    CHECK_EQUAL(10U, fleet.count_knowing("a", 1));
     fleet.stop(9);
     fleet.start(9);
     fleet.clock.run_for(seconds{1});
-    CHECK_EQUAL(0U, fleet.knowing("a", 1));
+    CHECK_EQUAL(0U, fleet.count_knowing("a", 1));
 }
 
-TEST(fact_table_test, a_router_that_joins_learns_the_older_facts)
+TEST(fact_table_test, a_router_that_joins_receives_the_older_facts)
 {
     fact_fleet fleet(3, 10);
     for (int subject = 0; subject < 100; ++subject) {
@@ -91,12 +91,13 @@
     fleet.start(9);
     fleet.clock.run_for(seconds{1});
     CHECK_EQUAL(100U, fleet.nodes[9]->size());
-    const std::uint64_t messages = 2 * 2 + 20; // two welcomes, and the joiner's own pushes
+    const std::uint64_t messages =
+        2 * 2 + 20; // all facts from two peers, and the joiner's own pushes
     CHECK_COMPARE(fleet.net.sent - before, <=, messages);
 }
 
-// Told of its peers again before each push, as embedders do, a router still leaves none out.
-TEST(fact_table_test, all_peers_of_a_small_fleet_are_pushed_to_before_any_comes_again)
+// The peers are set again before each push, as embedders do. The router must still not skip any.
+TEST(fact_table_test, all_peers_of_a_small_fleet_are_pushed_to_before_any_repeats)
 {
     fact_table table({"self", 1});
     std::vector<member_address> peers;
@@ -119,7 +120,7 @@
     CHECK_EQUAL(8U, pushed.size());
 }
 
-TEST(fact_table_test, the_table_is_bounded_and_drops_what_would_be_forgotten_soonest)
+TEST(fact_table_test, the_table_is_bounded_and_drops_the_fact_that_expires_first)
 {
     fact_table_settings settings;
     settings.max_facts = 2;
@@ -131,8 +132,9 @@
     CHECK_EQUAL(0U, table.about(kind, "short").size());
 }
 
-// Facts are stated anew while older statements are still on their way, late and twice.
-TEST(fact_table_test, of_each_author_the_newest_fact_holds_everywhere)
+// Newer versions of a fact are published while older ones are still in transit, late and
+// duplicated.
+TEST(fact_table_test, the_newest_fact_of_each_author_wins_everywhere)
 {
     const bool held = holds_for_seeds("facts", [](std::uint64_t seed) {
         fact_fleet fleet(seed, 8);
@@ -143,7 +145,7 @@
             fleet.clock.run_for(fleet.clock.delay(milliseconds{700}));
         }
         fleet.clock.run_for(seconds{8});
-        RC_ASSERT(fleet.knowing("a", 10) == 8U);
+        RC_ASSERT(fleet.count_knowing("a", 10) == 8U);
     });
     CHECK_TRUE(held);
 }
--- a/coordination/test/membership_test.cpp
+++ b/coordination/test/membership_test.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Routers of two zones, each at its own address, where a later life takes the place of the former.
+// Routers of two zones, each at its own address, where a later incarnation replaces the previous
+// one.
 struct membership_fleet : fleet<membership> {
     membership_fleet(std::uint64_t seed, std::size_t size) : fleet(seed, size)
     {
@@ -33,28 +34,28 @@
     void on_action(std::size_t /*node*/, const membership::action& action) override
     {
         if (const auto* change = std::get_if<member_changed>(&action)) {
-            this->deaths += change->changed.state == member_state::dead ? 1 : 0;
+            this->dead_reports += change->changed.state == member_state::dead ? 1 : 0;
         }
     }
 
     void on_message(const peer_message& message) override
     {
-        this->largest = std::max(this->largest, updates_in(message));
+        this->max_updates = std::max(this->max_updates, updates_in(message));
     }
 
     static std::size_t updates_in(const peer_message& message)
     {
-        const auto* asked = std::get_if<probe>(&message);
-        return asked != nullptr ? asked->updates.size()
-                                : std::get<probe_reply>(message).updates.size();
+        const auto* request = std::get_if<probe>(&message);
+        return request != nullptr ? request->updates.size()
+                                  : std::get<probe_reply>(message).updates.size();
     }
 
-    // How many running routers see exactly the running ones as alive.
-    std::size_t seeing_rightly() const
+    // Number of running routers that see exactly the running ones as alive.
+    std::size_t count_with_correct_view() const
     {
-        std::set<std::string> right;
+        std::set<std::string> expected;
         for (const std::size_t node : this->running()) {
-            right.insert(this->id(node));
+            expected.insert(this->id(node));
         }
         return this->count_running([&](const membership& node) {
             std::set<std::string> seen{node.self().id};
@@ -63,19 +64,19 @@
                     seen.insert(peer.id);
                 }
             }
-            return seen == right;
+            return seen == expected;
         });
     }
 
-    std::size_t live_for(std::size_t observer) const
+    std::size_t count_live_at(std::size_t observer) const
     {
         return this->nodes[observer]->live().size();
     }
-    std::size_t registered() { return this->store.range("routers/").size(); }
+    std::size_t count_registered() { return this->store.range("routers/").size(); }
 
     table_member_codec codec;
-    std::size_t largest = 0;
-    int deaths = 0;
+    std::size_t max_updates = 0;
+    int dead_reports = 0;
 };
 
 void random_fault(membership_fleet& fleet)
@@ -113,12 +114,13 @@
 {
     membership_fleet fleet(1, 6);
     fleet.clock.run_for(seconds{20});
-    CHECK_EQUAL(6U, fleet.seeing_rightly());
-    CHECK_EQUAL(6U, fleet.registered());
+    CHECK_EQUAL(6U, fleet.count_with_correct_view());
+    CHECK_EQUAL(6U, fleet.count_registered());
 }
 
-// The news of the older routers have long gone round, and the list in the store cannot be read.
-TEST(membership_test, a_router_that_starts_during_an_outage_soon_knows_a_large_fleet)
+// The records of the older routers are no longer spread by gossip, and the list in the store cannot
+// be read.
+TEST(membership_test, a_router_that_starts_during_an_outage_soon_learns_a_large_fleet)
 {
     membership_fleet fleet(2, 40);
     fleet.clock.run_for(seconds{60});
@@ -126,37 +128,37 @@
     fleet.stop(5);
     fleet.start(5);
     fleet.clock.run_for(seconds{3});
-    CHECK_EQUAL(40U, fleet.live_for(5)); // its former life is not given up yet
+    CHECK_EQUAL(40U, fleet.count_live_at(5)); // its previous incarnation is not removed yet
 }
 
-// A host is lost and replaced. The former life must become dead to all, though the new one answers
-// at its address, and nobody else may.
-TEST(membership_test, a_replaced_router_is_dead_to_all_and_its_new_life_is_alive)
+// A host is lost and replaced. The previous incarnation must become dead to all although the new
+// one answers at its address, and no other member may become dead.
+TEST(membership_test, a_replaced_router_is_dead_to_all_and_its_new_incarnation_is_alive)
 {
     membership_fleet fleet(3, 6);
     fleet.clock.run_for(seconds{20});
     fleet.stop(3);
     fleet.start(3);
     fleet.clock.run_for(seconds{20});
-    CHECK_EQUAL(6U, fleet.seeing_rightly());
-    CHECK_EQUAL(6, fleet.deaths); // one for each router
+    CHECK_EQUAL(6U, fleet.count_with_correct_view());
+    CHECK_EQUAL(6, fleet.dead_reports); // one for each router
 }
 
-// The way from one router to another is cut, one way only. All others reach both, so nobody is
-// dead.
-TEST(membership_test, a_cut_between_two_routers_kills_neither)
+// The link from one router to another is cut in one direction. All others reach both, so neither
+// may become dead.
+TEST(membership_test, a_cut_link_between_two_routers_makes_neither_dead)
 {
     membership_fleet fleet(4, 6);
     fleet.clock.run_for(seconds{20});
     fleet.net.cuts.insert({1, 2});
     fleet.clock.run_for(seconds{60});
-    CHECK_EQUAL(0, fleet.deaths);
-    CHECK_EQUAL(6U, fleet.seeing_rightly());
+    CHECK_EQUAL(0, fleet.dead_reports);
+    CHECK_EQUAL(6U, fleet.count_with_correct_view());
 }
 
-// A router still sends, but nothing reaches it. Its messages say that it is alive; it is of no use
-// to anybody all the same.
-TEST(membership_test, a_router_that_hears_nothing_is_dead_to_the_others_until_it_hears_again)
+// A router still sends, but receives nothing. Its messages indicate that it is alive, but it cannot
+// serve anybody, so the others must treat it as dead.
+TEST(membership_test, a_router_that_receives_nothing_is_dead_to_the_others_until_it_receives_again)
 {
     membership_fleet fleet(5, 6);
     fleet.clock.run_for(seconds{20});
@@ -165,32 +167,32 @@
     }
     fleet.clock.run_for(seconds{20});
     for (std::size_t node = 0; node < 5; ++node) {
-        CHECK_EQUAL(4U, fleet.live_for(node));
+        CHECK_EQUAL(4U, fleet.count_live_at(node));
     }
     fleet.net.cuts.clear();
     fleet.clock.run_for(seconds{20});
-    CHECK_EQUAL(6U, fleet.seeing_rightly());
+    CHECK_EQUAL(6U, fleet.count_with_correct_view());
 }
 
-// A router is paused for half a minute, long enough to be held dead. When it wakes, an accuser
-// tells it so, and it refutes.
-TEST(membership_test, a_router_that_was_held_dead_comes_back_soon)
+// A router is paused for half a minute, long enough to be declared dead. When it resumes, it
+// receives the suspicion from another router and refutes it.
+TEST(membership_test, a_router_that_was_declared_dead_rejoins_soon)
 {
     membership_fleet fleet(6, 40);
     fleet.clock.run_for(seconds{20});
     fleet.paused[2] = true;
     fleet.clock.run_for(seconds{30});
-    CHECK_EQUAL(39, fleet.deaths);
+    CHECK_EQUAL(39, fleet.dead_reports);
     fleet.paused[2] = false;
     fleet.clock.run_for(seconds{10});
-    CHECK_EQUAL(39, fleet.deaths);
-    CHECK_EQUAL(40U, fleet.seeing_rightly());
-    CHECK_EQUAL(40U, fleet.registered());
+    CHECK_EQUAL(39, fleet.dead_reports);
+    CHECK_EQUAL(40U, fleet.count_with_correct_view());
+    CHECK_EQUAL(40U, fleet.count_registered());
 }
 
-// This router slept while another was suspected and could not hear that one refute. The suspicion
-// is as old as its sleep, and must not count as unanswered for so long.
-TEST(membership_test, a_paused_router_accuses_nobody_on_waking)
+// This router was paused while another one was suspected, and could not receive the refutation. The
+// time of the pause must not count toward the suspicion timeout.
+TEST(membership_test, a_paused_router_declares_nobody_dead_on_resuming)
 {
     table_member_codec codec;
     membership_settings settings;
@@ -210,9 +212,10 @@
     CHECK_EQUAL(0U, self.live().size());
 }
 
-// Two halves of a fleet lose each other and the store, hold each other dead, and find each other
-// again though neither has any live member of the other to ask.
-TEST(membership_test, two_halves_that_held_each_other_dead_join_again_without_the_store)
+// Two halves of a fleet are partitioned from each other and from the store, and declare each other
+// dead. They must find each other again although neither has a live member of the other half to
+// probe.
+TEST(membership_test, two_halves_that_declared_each_other_dead_rejoin_without_the_store)
 {
     membership_fleet fleet(10, 6);
     fleet.clock.run_for(seconds{20});
@@ -221,26 +224,26 @@
         fleet.cut_both_ways(pair / 3, 3 + pair % 3);
     }
     fleet.clock.run_for(seconds{20});
-    CHECK_EQUAL(2U, fleet.live_for(0));
+    CHECK_EQUAL(2U, fleet.count_live_at(0));
     fleet.net.cuts.clear();
     fleet.clock.run_for(seconds{25});
-    CHECK_EQUAL(6U, fleet.seeing_rightly());
+    CHECK_EQUAL(6U, fleet.count_with_correct_view());
 }
 
-TEST(membership_test, a_leaving_router_stays_a_member_and_is_gone_at_once_when_it_departs)
+TEST(membership_test, a_leaving_router_stays_a_member_until_it_departs)
 {
     membership_fleet fleet(7, 6);
     fleet.clock.run_for(seconds{20});
     fleet.nodes[0]->leave(fleet.clock.now());
     fleet.clock.run_for(seconds{5});
-    CHECK_EQUAL(5U, fleet.live_for(1));
+    CHECK_EQUAL(5U, fleet.count_live_at(1));
     CHECK_FALSE(fleet.nodes[0]->is_reader());
     fleet.nodes[0]->depart(fleet.clock.now());
     fleet.carry_out(0);
     fleet.stop(0);
     fleet.clock.run_for(seconds{4});
-    CHECK_EQUAL(5U, fleet.seeing_rightly());
-    CHECK_EQUAL(5U, fleet.registered());
+    CHECK_EQUAL(5U, fleet.count_with_correct_view());
+    CHECK_EQUAL(5U, fleet.count_registered());
 }
 
 TEST(membership_test, each_zone_has_two_readers_and_others_take_over)
@@ -256,10 +259,10 @@
         }
     }
     fleet.clock.run_for(seconds{20});
-    CHECK_EQUAL(6U, fleet.seeing_rightly());
+    CHECK_EQUAL(6U, fleet.count_with_correct_view());
 }
 
-TEST(membership_test, a_member_costs_the_same_in_a_fleet_of_any_size)
+TEST(membership_test, the_cost_of_a_member_does_not_depend_on_the_fleet_size)
 {
     for (const std::size_t size : {5U, 40U}) {
         membership_fleet fleet(9, size);
@@ -268,12 +271,12 @@
         fleet.clock.run_for(seconds{20});
         const std::uint64_t messages = 41 * size; // a probe and an answer in each of 20 periods
         CHECK_COMPARE(fleet.net.sent - before, <=, messages);
-        CHECK_COMPARE(fleet.largest, <=, 66U);
+        CHECK_COMPARE(fleet.max_updates, <=, 66U);
     }
 }
 
-// Random crashes, replacements, pauses, one-way cuts, store outages and lost messages. When they
-// end, all running routers see exactly each other.
+// Random crashes, replacements, pauses, one-way partitions, store outages and lost messages. After
+// they end, all running routers see exactly each other.
 TEST(membership_test, after_any_schedule_of_faults_all_routers_agree)
 {
     const bool held = holds_for_seeds("members", [](std::uint64_t seed) {
@@ -286,8 +289,8 @@
         fleet.end_faults();
         const std::size_t running = fleet.running().size();
         fleet.clock.run_for(seconds{90});
-        RC_ASSERT(fleet.seeing_rightly() == running);
-        RC_ASSERT(fleet.registered() == running);
+        RC_ASSERT(fleet.count_with_correct_view() == running);
+        RC_ASSERT(fleet.count_registered() == running);
     });
     CHECK_TRUE(held);
 }
--- a/coordination/test/peer_exchange_test.cpp
+++ b/coordination/test/peer_exchange_test.cpp
@@ -45,7 +45,7 @@
 
 TEST_GROUP(peer_exchange){};
 
-TEST(peer_exchange, loads_are_told_when_they_change_and_repeated_while_they_last)
+TEST(peer_exchange, loads_are_reported_on_change_and_repeated_while_not_empty)
 {
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 3);
@@ -59,52 +59,53 @@
     CHECK_EQUAL(0U, exchange.on_tick({}, {true, 5}, start + seconds(9)).size());
 }
 
-TEST(peer_exchange, nothing_is_told_more_often_than_once_a_period)
+TEST(peer_exchange, loads_are_reported_at_most_once_a_period)
 {
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 2);
     std::uint32_t requests = 1;
-    std::size_t told = 0;
+    std::size_t reports = 0;
     for (auto now = start; now < start + seconds(1); now += milliseconds(10)) {
-        told += exchange.on_tick({{"e1", requests++, 0.0}}, {true, 5}, now).size();
+        reports += exchange.on_tick({{"e1", requests++, 0.0}}, {true, 5}, now).size();
     }
-    CHECK_EQUAL(10U, told);
+    CHECK_EQUAL(10U, reports);
 }
 
-// A fleet of 740 must not have each router tell all others. Each tells a bounded number, and each
-// hears from as many.
-TEST(peer_exchange, in_a_large_zone_each_router_tells_and_hears_a_bounded_number)
+// In a fleet of 740 routers not every router can report to all others. Each must report to a
+// bounded number, and receive reports from the same number.
+TEST(peer_exchange, in_a_large_zone_each_router_sends_and_receives_a_bounded_number_of_reports)
 {
     constexpr int count = 67;
-    std::map<std::string, int> heard;
+    std::map<std::string, int> report_counts;
     for (int number = 0; number < count; ++number) {
         auto exchange = make_exchange(name_of(number));
         set_peers(exchange, count);
         for (const auto& send : exchange.on_tick(some_load, {true, 5}, start)) {
-            ++heard[send.to.host];
+            ++report_counts[send.to.host];
         }
     }
-    CHECK_EQUAL(static_cast<std::size_t>(count), heard.size());
-    for (const auto& [host, times] : heard) {
-        CHECK_EQUAL(16, times);
+    CHECK_EQUAL(static_cast<std::size_t>(count), report_counts.size());
+    for (const auto& [host, received] : report_counts) {
+        CHECK_EQUAL(16, received);
     }
 }
 
-// Guards against routers that fill one endpoint and hear too little of each other to stop in time.
-TEST(peer_exchange, more_peers_hear_of_an_endpoint_that_is_being_filled)
+// Guards against routers that fill one endpoint together and receive too few of each other's
+// reports to stop in time.
+TEST(peer_exchange, more_peers_receive_the_load_of_an_endpoint_being_filled)
 {
     constexpr std::size_t others = told_when_filling - told_usually;
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 200);
     const std::vector<endpoint_load> filling = {{"e2", 1, 60.0}};
     const std::vector<endpoint_load> all = {{"e1", 2, 90.0}, {"e2", 1, 60.0}};
-    std::map<std::string, std::vector<endpoint_load>> told;
+    std::map<std::string, std::vector<endpoint_load>> reports;
     for (const auto& send : exchange.on_tick(all, {true, 5}, start, filling)) {
-        told[send.to.host] = std::get<load_push>(send.message).loads;
+        reports[send.to.host] = std::get<load_push>(send.message).loads;
     }
-    CHECK_EQUAL(told_when_filling, told.size());
+    CHECK_EQUAL(told_when_filling, reports.size());
     const auto of_filling = [&filling](const auto& one) { return one.second == filling; };
-    LONGS_EQUAL(others, std::count_if(told.begin(), told.end(), of_filling));
+    LONGS_EQUAL(others, std::count_if(reports.begin(), reports.end(), of_filling));
     const auto next = start + milliseconds(100);
     const std::vector<endpoint_load> other = {{"e1", 3, 99.0}, {"e2", 1, 60.0}};
     CHECK_EQUAL(told_usually, exchange.on_tick(other, {true, 5}, next, filling).size());
@@ -113,7 +114,7 @@
     CHECK_EQUAL(0U, exchange.on_tick(other, {true, 5}, last, {}).size());
 }
 
-TEST(peer_exchange, peers_of_the_own_zone_are_told_first)
+TEST(peer_exchange, peers_of_the_same_zone_receive_reports_first)
 {
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 20, "tema");
@@ -125,9 +126,9 @@
     }
 }
 
-// The store does not answer this router. It asks one peer after the other, since the first may be
-// turned away as well.
-TEST(peer_exchange, without_the_store_one_peer_after_the_other_is_asked)
+// The store does not answer this router. It must pull from one peer after the other, since the
+// store may also refuse the first peer.
+TEST(peer_exchange, without_the_store_peers_are_pulled_from_in_turn)
 {
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 4);
@@ -144,23 +145,23 @@
     CHECK_EQUAL(0U, exchange.on_tick({}, {true, 17}, start + seconds(2)).size());
 }
 
-TEST(peer_exchange, only_the_answer_to_the_open_question_is_taken_and_once)
+TEST(peer_exchange, only_the_answer_to_the_open_pull_is_accepted_and_only_once)
 {
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 2);
     const auto sends = exchange.on_tick({}, {false, 17}, start);
-    mirror_update news;
-    news.nonce = std::get<mirror_pull>(sends[0].message).nonce + 1;
-    CHECK_FALSE(exchange.accepts_answer(news));
-    --news.nonce;
-    CHECK_TRUE(exchange.accepts_answer(news));
-    CHECK_FALSE(exchange.accepts_answer(news));
+    mirror_update update;
+    update.nonce = std::get<mirror_pull>(sends[0].message).nonce + 1;
+    CHECK_FALSE(exchange.accepts_answer(update));
+    --update.nonce;
+    CHECK_TRUE(exchange.accepts_answer(update));
+    CHECK_FALSE(exchange.accepts_answer(update));
 }
 
-// Callers are refused on a route that was added many seconds ago, at a router that the store turns
-// away. The configuration is large, and comes from a peer later than the next question goes out;
-// its answer counted as one to an old question, and the next peer was asked for all of it again.
-TEST(peer_exchange, a_large_value_may_come_later_than_the_next_question)
+// Callers are refused on a route that was added many seconds ago, at a router that the store
+// refuses. The large configuration arrives from a peer after the next pull was sent; its answer was
+// discarded as outdated, and the next peer was asked for all of it again.
+TEST(peer_exchange, a_large_value_may_arrive_after_the_next_pull)
 {
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 4);
@@ -175,17 +176,17 @@
     }
     CHECK_EQUAL(4U, small.size());
     CHECK_EQUAL(1U, large.size());
-    mirror_update news;
-    news.nonce = large[0].nonce;
-    CHECK_TRUE(exchange.accepts_answer(news));
-    CHECK_FALSE(exchange.accepts_answer(news));
-    news.nonce = small[3].nonce;
-    CHECK_TRUE(exchange.accepts_answer(news));
+    mirror_update update;
+    update.nonce = large[0].nonce;
+    CHECK_TRUE(exchange.accepts_answer(update));
+    CHECK_FALSE(exchange.accepts_answer(update));
+    update.nonce = small[3].nonce;
+    CHECK_TRUE(exchange.accepts_answer(update));
 }
 
-// As above, where the links of the peers are full: the value takes longer than any one period. Each
-// peer in turn sends all of it, and each time the next one has been asked when it comes.
-TEST(peer_exchange, a_large_value_that_takes_longer_than_the_period_is_taken)
+// As above, with saturated links of the peers: the value takes longer than the pull period. Each
+// peer in turn sends all of it, and each time the next pull has been sent when it arrives.
+TEST(peer_exchange, a_large_value_that_takes_longer_than_the_period_is_accepted)
 {
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 4);
@@ -198,12 +199,12 @@
             }
         }
     }
-    mirror_update news;
-    news.nonce = large[0].nonce;
-    CHECK_TRUE(exchange.accepts_answer(news));
+    mirror_update update;
+    update.nonce = large[0].nonce;
+    CHECK_TRUE(exchange.accepts_answer(update));
 }
 
-TEST(peer_exchange, a_router_alone_says_nothing)
+TEST(peer_exchange, a_router_without_peers_sends_nothing)
 {
     auto exchange = make_exchange("edge-100");
     exchange.set_peer("edge-100", {"10.0.0.1", 7340, "osu"});
--- a/coordination/test/property.hpp
+++ b/coordination/test/property.hpp
@@ -13,7 +13,7 @@
 
 // Whether a property holds for 100 seeds of random schedules; a failing seed is printed. RapidCheck
 // keeps its contexts from the first case on, which CppUTest would count as a leak of the test that
-// happens to run first. Shrinking a seed would only give another schedule.
+// happens to run first. Seeds are not shrunk, since another seed is an unrelated schedule.
 template <typename Property>
 bool holds_for_seeds(const std::string& description, const Property& property)
 {
--- a/coordination/test/rapidcheck_warm_up.cpp
+++ b/coordination/test/rapidcheck_warm_up.cpp
@@ -3,8 +3,8 @@
 
 namespace {
 
-// RapidCheck keeps its settings and generators from the first check on. Made inside a test, they
-// would count as leaks.
+// RapidCheck allocates its settings and generators at the first check and keeps them. If that
+// happened inside a test, CppUTest would count them as leaks.
 [[maybe_unused]] const bool warmed =
     rc::check("warm-up", [] { *rc::gen::arbitrary<std::uint64_t>(); });
 
--- a/coordination/test/simulation.hpp
+++ b/coordination/test/simulation.hpp
@@ -26,7 +26,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Virtual time and one source of chance for a schedule, so that a seed repeats a run.
+// Virtual time and a single source of randomness for a schedule, so that a seed reproduces a run.
 class scheduler {
 public:
     explicit scheduler(std::uint64_t seed) : sequence(seed) {}
@@ -59,14 +59,14 @@
     std::multimap<instant, std::function<void()>> events;
 };
 
-// Carries messages between numbered nodes: late, twice, or not at all.
+// Delivers messages between numbered nodes: late, twice, or not at all.
 class network {
 public:
     explicit network(scheduler& schedule) : clock(schedule) {}
 
     unsigned lost_percent = 0;
     milliseconds longest_delay{2};
-    std::set<std::pair<std::size_t, std::size_t>> cuts; // from one node to another
+    std::set<std::pair<std::size_t, std::size_t>> cuts; // blocked links, as sender and receiver
     std::uint64_t sent = 0;
 
     void transmit(std::size_t from, std::size_t to, const std::function<void()>& deliver)
@@ -91,12 +91,12 @@
 public:
     explicit model_store(scheduler& schedule) : clock(schedule) {}
 
-    unsigned lost_percent = 0; // of calls: half of them before, half of them after they took effect
+    unsigned lost_percent = 0; // of calls: half before they take effect, half after
     milliseconds longest_delay{2};
     bool down = false;
-    duration time_to_fail{}; // how long a call waits for its failure while the store is down
+    duration time_to_fail{}; // delay before a call fails while the store is down
     std::uint64_t calls = 0;
-    std::function<void(const kv_entry&)> on_write; // sees every write as it takes effect
+    std::function<void(const kv_entry&)> on_write; // called for every write as it takes effect
 
     void submit(const kv_request& request, const std::function<void(const kv_reply&)>& done)
     {
@@ -272,9 +272,9 @@
     std::map<lease_number, lease_state> leases;
 };
 
-// Processes that each run one part, with the store and the network between them. A process can be
-// replaced by a later life at the same address, and be paused: time goes on, it does nothing, and
-// what reaches it waits.
+// Processes that each run one component, connected by the store and the network. A process can be
+// replaced by a later incarnation at the same address. A paused process does nothing while time
+// advances, and events for it are queued.
 template <class Part>
 class fleet {
 public:
@@ -364,7 +364,8 @@
     virtual void on_ticked(std::size_t /*node*/) {}
 
 private:
-    std::map<std::size_t, std::vector<std::function<void()>>> waiting; // for paused processes
+    std::map<std::size_t, std::vector<std::function<void()>>>
+        waiting; // events queued for paused processes
 
     void tick(std::size_t node, std::uint64_t incarnation)
     {
@@ -441,7 +442,7 @@
     }
 };
 
-// Stands for the JSON codecs: a text is the number of the value in a table.
+// Replaces the JSON codecs: a value is encoded as its index in a table.
 template <class Value>
 class value_table {
 public:
--- a/coordination/test/watch_share_test.cpp
+++ b/coordination/test/watch_share_test.cpp
@@ -20,15 +20,15 @@
 constexpr instant start{seconds(100)};
 constexpr auto tick_time = milliseconds(10);
 
-// The strictest bound on hearing of a configuration.
-constexpr auto latest = seconds(2);
+// The strictest bound on receiving a configuration.
+constexpr auto strictest_bound = seconds(2);
 
 std::string name_of(std::size_t router)
 {
     return "router-" + std::to_string(router);
 }
 
-// The store's history: each revision writes a key of its own.
+// The store's history: each revision writes a different key.
 class model_store {
 public:
     void write() { ++this->revision; }
@@ -57,16 +57,16 @@
     std::map<store_revision, std::string> large;
 };
 
-std::size_t bytes_of(const mirror_update& news)
+std::size_t bytes_of(const mirror_update& update)
 {
     std::size_t sum = 0;
-    for (const auto& entry : news.entries) {
+    for (const auto& entry : update.entries) {
         sum += entry.key.size() + entry.value.size();
     }
     return sum;
 }
 
-// One router of a zone: its mirror, its idea of who watches, and its one open call to the store.
+// One router of a zone: its mirror, its view of who watches, and its open call to the store.
 struct model_router {
     explicit model_router(std::size_t number)
         : share(watch_share_settings{name_of(number), "osu"}), mirror(prefix_mirror_settings{})
@@ -74,19 +74,19 @@
 
     watch_share share;
     prefix_mirror mirror;
-    std::optional<store_call> open;
-    instant asked;
-    store_revision passed_on = 0;
-    instant passed_on_at;
+    std::optional<store_call> open_call;
+    instant called_at;
+    store_revision forwarded_revision = 0;
+    instant forwarded_at;
     bool alive = true;
     bool cut_off = false; // from the store
     int calls = 0;
-    std::size_t bytes_passed_on = 0;
+    std::size_t bytes_forwarded = 0;
 };
 
-class watching_zone {
+class model_zone {
 public:
-    explicit watching_zone(std::size_t size)
+    explicit model_zone(std::size_t size)
     {
         for (std::size_t i = 0; i < size; ++i) {
             this->routers.push_back(std::make_unique<model_router>(i));
@@ -96,7 +96,7 @@
         }
     }
 
-    void play(duration time)
+    void run_for(duration time)
     {
         for (const auto until = this->now + time; this->now < until; this->now += tick_time) {
             for (std::size_t i = 0; i < this->routers.size(); ++i) {
@@ -107,12 +107,12 @@
         }
     }
 
-    // Whether all that live and reach the store know of all that it holds.
-    [[nodiscard]] bool all_know() const
+    // Whether all running routers with access to the store have everything that it holds.
+    [[nodiscard]] bool all_up_to_date() const
     {
         for (const auto& router : this->routers) {
-            const bool judged = router->alive && !router->cut_off;
-            if (judged && router->mirror.revision() < this->store.revision) {
+            const bool is_checked = router->alive && !router->cut_off;
+            if (is_checked && router->mirror.revision() < this->store.revision) {
                 return false;
             }
         }
@@ -151,67 +151,70 @@
         router.mirror.on_tick(this->now);
         this->take_call(router);
         this->answer(router);
-        this->pass_on(number);
+        this->forward(number);
     }
 
     void take_call(model_router& router)
     {
         for (const auto& action : router.mirror.take_actions()) {
             if (const auto* call = std::get_if<store_call>(&action)) {
-                router.open = *call;
-                router.asked = this->now;
+                router.open_call = *call;
+                router.called_at = this->now;
                 ++router.calls;
             }
         }
     }
 
-    // A watch is answered once there is something to tell, and at its end; one tick is the way.
+    // A watch is answered once there are changes, or at its timeout; a call takes one tick.
     void answer(model_router& router)
     {
-        if (!router.open || router.cut_off || this->now - router.asked < tick_time) {
+        if (!router.open_call || router.cut_off || this->now - router.called_at < tick_time) {
             return;
         }
-        const auto* watch = std::get_if<kv_watch>(&router.open->request);
+        const auto* watch = std::get_if<kv_watch>(&router.open_call->request);
         const auto after = watch == nullptr ? 0 : watch->after;
         const bool is_due = watch == nullptr || this->store.revision > after ||
-                            this->now - router.asked >= watch->wait;
+                            this->now - router.called_at >= watch->wait;
         if (is_due) {
-            const auto tag = router.open->tag;
-            router.open.reset();
+            const auto tag = router.open_call->tag;
+            router.open_call.reset();
             router.mirror.on_reply(tag, this->store.read_after(after), this->now);
             this->take_call(router);
         }
     }
 
-    void pass_on(std::size_t number)
+    void forward(std::size_t number)
     {
         auto& router = *this->routers[number];
-        const bool passes = router.share.mode(this->now) == watch_mode::watcher &&
-                            router.mirror.is_synchronized() &&
-                            router.mirror.confirmed_at() != router.passed_on_at;
-        if (!passes) {
+        const bool forwards = router.share.mode(this->now) == watch_mode::watcher &&
+                              router.mirror.is_synchronized() &&
+                              router.mirror.confirmed_at() != router.forwarded_at;
+        if (!forwards) {
             return;
         }
-        const auto from = router.passed_on == 0 ? router.mirror.revision() : router.passed_on;
-        const auto news = without_large_values(router.mirror.updates_after(from).value());
-        router.passed_on = news.as_of;
-        router.passed_on_at = router.mirror.confirmed_at();
+        const auto from =
+            router.forwarded_revision == 0 ? router.mirror.revision() : router.forwarded_revision;
+        const auto update = without_large_values(router.mirror.updates_after(from).value());
+        router.forwarded_revision = update.as_of;
+        router.forwarded_at = router.mirror.confirmed_at();
         for (std::size_t to = 0; to < this->routers.size(); ++to) {
             if (to != number && this->routers[to]->alive) {
-                this->hear(*this->routers[to], router, news);
+                this->receive(*this->routers[to], router, update);
             }
         }
     }
 
-    void hear(model_router& listener, model_router& teller, const mirror_update& news) const
+    void receive(model_router& recipient, model_router& sender, const mirror_update& update) const
     {
-        const auto known = listener.mirror.revision();
-        const bool asks_teller = news.after > known && !listener.mirror.must_read_store();
-        const auto rest =
-            asks_teller ? without_large_values(teller.mirror.updates_after(known).value()) : news;
-        teller.bytes_passed_on += bytes_of(rest);
-        listener.mirror.on_peer_update(rest);
-        listener.share.on_watcher_update(rest.as_of, listener.mirror.revision(), {}, this->now);
+        const auto known = recipient.mirror.revision();
+        const bool pulls_from_sender = update.after > known && !recipient.mirror.must_read_store();
+        const auto received = pulls_from_sender
+                                  ? without_large_values(sender.mirror.updates_after(known).value())
+                                  : update;
+        sender.bytes_forwarded += bytes_of(received);
+        recipient.mirror.on_peer_update(received);
+        recipient.share.on_watcher_update(received.as_of, recipient.mirror.revision(), {},
+                                          this->now);
     }
 };
 
@@ -221,24 +224,24 @@
 
 TEST(watch_share, two_routers_of_a_large_zone_watch_for_all)
 {
-    watching_zone zone(30);
-    zone.play(seconds(2));
+    model_zone zone(30);
+    zone.run_for(seconds(2));
     CHECK_EQUAL(2U, zone.in_mode(watch_mode::watcher).size());
     CHECK_EQUAL(28U, zone.in_mode(watch_mode::follower).size());
     const int before = zone.calls();
     for (int i = 0; i < 20; ++i) {
         zone.store.write();
-        zone.play(milliseconds(500));
-        CHECK_TRUE(zone.all_know());
+        zone.run_for(milliseconds(500));
+        CHECK_TRUE(zone.all_up_to_date());
     }
-    // Alone, each of thirty would have made a call for each write.
+    // Without sharing, each of the thirty routers would have made a call for each write.
     CHECK_TRUE(zone.calls() - before <= 2 * 40 + 10);
 }
 
 TEST(watch_share, in_a_small_zone_each_router_watches_for_itself)
 {
-    watching_zone zone(7);
-    zone.play(seconds(1));
+    model_zone zone(7);
+    zone.run_for(seconds(1));
     CHECK_EQUAL(7U, zone.in_mode(watch_mode::independent).size());
 }
 
@@ -251,80 +254,81 @@
     CHECK_TRUE(watch_mode::independent == share.mode(start));
 }
 
-// Callers get no answers from two routers of each zone, for many seconds after the operators stated
-// a configuration of half a megabyte: it went from them to all the others of the zone, and whatever
-// these two had to send waited behind it for their links.
-TEST(watch_share, a_large_value_takes_no_watchers_link)
+// Callers get no answers from two routers of each zone for many seconds after operators wrote a
+// configuration of half a megabyte: the two watchers forwarded it to all others of the zone, and
+// their answers to callers were queued behind it on their links.
+TEST(watch_share, a_large_value_does_not_saturate_the_links_of_watchers)
 {
     constexpr std::size_t half_a_megabyte = 500'000;
-    constexpr std::size_t part_of_a_link = 500'000; // passed on to 28 others
-    watching_zone zone(30);
-    zone.play(seconds(2));
+    constexpr std::size_t max_forwarded_bytes = 500'000; // passed on to 28 others
+    model_zone zone(30);
+    zone.run_for(seconds(2));
     zone.store.write_large(half_a_megabyte);
     zone.store.write(); // an endpoint leaves
-    zone.play(milliseconds(600));
-    CHECK_TRUE(zone.all_know());
+    zone.run_for(milliseconds(600));
+    CHECK_TRUE(zone.all_up_to_date());
     for (const auto& router : zone.routers) {
-        CHECK_COMPARE(router->bytes_passed_on, <, part_of_a_link);
+        CHECK_COMPARE(router->bytes_forwarded, <, max_forwarded_bytes);
     }
 }
 
-// Callers are refused on a route that was added two seconds ago. Both watchers of the zone died at
-// the moment of the change, and are registered still. Their followers notice that no word comes and
-// ask the store themselves.
-TEST(watch_share, followers_watch_for_themselves_when_all_watchers_die)
+// Callers are refused on a route that was added two seconds ago. Both watchers of the zone crashed
+// at the moment of the change and are still registered. Their followers must notice the missing
+// updates and read the store themselves.
+TEST(watch_share, followers_watch_for_themselves_when_all_watchers_crash)
 {
-    watching_zone zone(30);
-    zone.play(seconds(2));
+    model_zone zone(30);
+    zone.run_for(seconds(2));
     for (const auto watcher : zone.in_mode(watch_mode::watcher)) {
         zone.routers[watcher]->alive = false;
     }
     zone.store.write();
-    zone.play(latest - milliseconds(300));
-    CHECK_TRUE(zone.all_know());
+    zone.run_for(strictest_bound - milliseconds(300));
+    CHECK_TRUE(zone.all_up_to_date());
 }
 
-// The same with watchers that live, reach their peers, and wait for a store that answers them no
-// more. What they could still say is no word of the store's.
-TEST(watch_share, watchers_that_are_cut_off_from_the_store_are_not_gone_by)
+// The same with watchers that run and reach their peers, but get no more replies from the store.
+// Updates that they could still send do not confirm the store's state.
+TEST(watch_share, followers_do_not_rely_on_watchers_without_access_to_the_store)
 {
-    watching_zone zone(30);
-    zone.play(seconds(2));
+    model_zone zone(30);
+    zone.run_for(seconds(2));
     for (const auto watcher : zone.in_mode(watch_mode::watcher)) {
         zone.routers[watcher]->cut_off = true;
     }
     zone.store.write();
-    zone.play(latest - milliseconds(300));
-    CHECK_TRUE(zone.all_know());
+    zone.run_for(strictest_bound - milliseconds(300));
+    CHECK_TRUE(zone.all_up_to_date());
 }
 
-// The death of one of two watchers is no news to anybody.
-TEST(watch_share, one_watchers_death_delays_nothing)
+// The crash of one of two watchers must not affect any router.
+TEST(watch_share, the_crash_of_one_watcher_delays_nothing)
 {
-    watching_zone zone(30);
-    zone.play(seconds(2));
+    model_zone zone(30);
+    zone.run_for(seconds(2));
     zone.routers[*zone.in_mode(watch_mode::watcher).begin()]->alive = false;
     zone.store.write();
-    zone.play(milliseconds(600));
-    CHECK_TRUE(zone.all_know());
+    zone.run_for(milliseconds(600));
+    CHECK_TRUE(zone.all_up_to_date());
 }
 
-TEST(watch_share, the_next_by_name_watches_when_a_watcher_is_gone)
+TEST(watch_share, another_router_watches_when_a_watcher_is_removed)
 {
-    watching_zone zone(30);
-    zone.play(seconds(1));
-    const auto gone = *zone.in_mode(watch_mode::watcher).begin();
-    zone.routers[gone]->alive = false;
+    model_zone zone(30);
+    zone.run_for(seconds(1));
+    const auto removed = *zone.in_mode(watch_mode::watcher).begin();
+    zone.routers[removed]->alive = false;
     for (const auto& router : zone.routers) {
-        router->share.drop_peer(name_of(gone));
+        router->share.drop_peer(name_of(removed));
     }
     auto watchers = zone.in_mode(watch_mode::watcher);
-    watchers.erase(gone);
+    watchers.erase(removed);
     CHECK_EQUAL(2U, watchers.size());
 }
 
-// A deaf watcher's words name a revision that its listeners have passed already.
-TEST(watch_share, a_word_that_is_behind_is_none)
+// A watcher whose watch misses changes sends updates with a revision that its recipients have
+// passed already.
+TEST(watch_share, an_update_behind_the_own_revision_is_ignored)
 {
     watch_share share({"a", "osu", 0});
     for (int i = 0; i < 9; ++i) {
@@ -338,7 +342,7 @@
     CHECK_TRUE(watch_mode::follower == share.mode(start + milliseconds(300)));
 }
 
-TEST(watch_share, a_word_counts_from_when_the_store_said_it)
+TEST(watch_share, the_age_of_an_update_counts_from_the_reply_of_the_store)
 {
     watch_share share({"a", "osu", 0});
     for (int i = 0; i < 9; ++i) {
