--- a/coordination/include/pearhaven/coordination/config_replica.hpp
+++ b/coordination/include/pearhaven/coordination/config_replica.hpp
@@ -146,8 +146,7 @@
         decision::instant start; // of the pull
         std::uint64_t revision = 0;
         bool store_reachable = true;
-        bool ready =
-            false; // false for a router that is still starting and holds no configuration yet
+        bool ready = false; // a router that is still starting has no configuration yet
     };
     struct snapshot_load {
         snapshot_assembly assembly;
@@ -192,8 +191,8 @@
     std::optional<decision::instant> confirmed_at;
 
     std::vector<config_peer> peers;
-    std::set<incarnation_id>
-        members_at_confirmation; // before the first confirmation: all members ever seen
+    // Before the first confirmation: all members ever seen.
+    std::set<incarnation_id> members_at_confirmation;
     bool was_fresh = false;
     std::map<incarnation_id, peer_answer> answers;
     std::map<incarnation_id, decision::instant> asked; // start of the last pull
--- a/coordination/include/pearhaven/coordination/config_writer.hpp
+++ b/coordination/include/pearhaven/coordination/config_writer.hpp
@@ -27,7 +27,7 @@
     decision::duration first_retry = std::chrono::milliseconds{20};
     decision::duration longest_retry = std::chrono::seconds{1};
     // The head must be written within this time after its pages, otherwise the pages are written
-    // again: whoever removes unused pages waits longer than this.
+    // again: unused pages are removed only after a longer time.
     decision::duration page_validity = std::chrono::seconds{20};
 };
 
--- a/coordination/include/pearhaven/coordination/key_value.hpp
+++ b/coordination/include/pearhaven/coordination/key_value.hpp
@@ -33,8 +33,8 @@
 
 struct kv_range {
     std::string prefix;
-    bool allow_stale =
-        false; // a result some seconds old is acceptable if the service returns it at a lower cost
+    // Accepts a result that is some seconds old, if the service returns it at a lower cost.
+    bool allow_stale = false;
     friend bool operator==(const kv_range&, const kv_range&) = default;
 };
 
--- a/coordination/include/pearhaven/coordination/membership.hpp
+++ b/coordination/include/pearhaven/coordination/membership.hpp
@@ -23,22 +23,20 @@
 
     registration_settings registration;
     decision::duration read_period =
-        std::chrono::seconds{10}; // interval at which readers list the members in the store
+        std::chrono::seconds{10}; // of the list in the store, by readers
     std::size_t readers_per_zone = 2;
 
     decision::duration probe_period = std::chrono::seconds{1};
-    decision::duration probe_timeout =
-        std::chrono::milliseconds{300}; // then the target is probed through other members
+    decision::duration probe_timeout = std::chrono::milliseconds{300}; // then probes go indirectly
     std::size_t indirect_probes = 3;
-    double suspicion_periods = 4; // suspicion timeout, multiplied by log10 of the number of members
+    double suspicion_periods = 4;   // times the logarithm (base 10) of the number of members
     int periods_per_dead_probe = 5; // a dead member is probed once in this many periods
 
     std::size_t fresh_updates = 8;   // recent changes in one message
     std::size_t joiner_updates = 64; // in the reply to a router that was unknown before
     std::size_t max_members = 2048;
     std::size_t max_dead = 512;
-    decision::duration dead_retention =
-        std::chrono::seconds{60}; // longer than the lease in the store
+    decision::duration dead_retention = std::chrono::seconds{60}; // longer than a store lease
 };
 
 // A member was seen for the first time, or its state changed.
--- a/coordination/include/pearhaven/coordination/peer_exchange.hpp
+++ b/coordination/include/pearhaven/coordination/peer_exchange.hpp
@@ -92,7 +92,7 @@
     [[nodiscard]] std::vector<peer_router> zone_peers() const;
 
     // Whether the update answers an open pull. One answer to each pull is accepted.
-    [[nodiscard]] bool accepts_answer(const mirror_update& news);
+    [[nodiscard]] bool accepts_answer(const mirror_update& update);
 
     [[nodiscard]] std::size_t size() const { return this->peers.size(); }
 
--- a/coordination/include/pearhaven/coordination/watch_share.hpp
+++ b/coordination/include/pearhaven/coordination/watch_share.hpp
@@ -23,7 +23,7 @@
     std::string zone;
 
     // Number of routers in a zone that watch for the others. One of two may crash, be partitioned
-    // or have a watch that misses changes, without delaying a change for anybody.
+    // or have a watch that misses changes, without delaying a change for any router.
     std::size_t watcher_count = 2;
 
     // Minimum number of routers in a zone for sharing watches. Shared watches are short, and a few
--- a/coordination/src/peer_exchange.cpp
+++ b/coordination/src/peer_exchange.cpp
@@ -45,8 +45,8 @@
 }
 
 // Peers of the zone come first, each group in the order of names starting after this router's own
-// name, so that in a large fleet every router reports to, and hears from, the same number of
-// others.
+// name, so that in a large fleet every router sends reports to, and receives them from, the same
+// number of others.
 std::vector<const peer_router*> peer_exchange::recipients(std::size_t max_count) const
 {
     std::vector<const peer_router*> found;
@@ -130,13 +130,13 @@
     return found;
 }
 
-bool peer_exchange::accepts_answer(const mirror_update& news)
+bool peer_exchange::accepts_answer(const mirror_update& update)
 {
-    if (this->open_pull == news.nonce) {
+    if (this->open_pull == update.nonce) {
         this->open_pull.reset();
         return true;
     }
-    const bool answers_large = this->open_large_pulls.count(news.nonce) > 0;
+    const bool answers_large = this->open_large_pulls.count(update.nonce) > 0;
     if (answers_large) {
         this->reset_large_pulls();
     }
--- a/coordination/src/prefix_mirror.cpp
+++ b/coordination/src/prefix_mirror.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A retry comes earlier by a random number of these steps, which together make up half the pause,
-// so that routers that lost the store together do not retry together.
+// Half the pause is divided into this many steps, and a retry comes earlier by a random number of
+// them, so that routers that lost the store together do not retry together.
 constexpr std::uint64_t jitter_steps = 4;
 
 // Number of changes kept for peers; a peer that has missed more gets the complete state.
@@ -99,12 +99,12 @@
         const bool brought = !this->needs_list && !reply.entries.empty();
         this->needs_list ? this->on_list(reply, now) : this->on_watch(reply, now);
         this->drop_unknown_reports();
-        const auto gather = this->mode == watch_mode::watcher
-                                ? this->settings.shared_change_batch_delay
-                                : this->settings.change_batch_delay;
-        this->due = brought ? now + gather : now;
+        const auto batch_delay = this->mode == watch_mode::watcher
+                                     ? this->settings.shared_change_batch_delay
+                                     : this->settings.change_batch_delay;
+        this->due = brought ? now + batch_delay : now;
     } else if (reply.outcome == kv_outcome::not_found && !this->needs_list) {
-        // The history has been dropped: only a list tells what has changed.
+        // The history has been dropped: only a list shows what has changed.
         this->needs_list = true;
         this->due = now;
     } else {
@@ -232,7 +232,7 @@
 }
 
 // A peer that relies on this mirror must not advance past a removal that it was not sent, since
-// nobody would send it later. A key that may reappear is still reported as present.
+// no router would send it later. A key that may reappear is still reported as present.
 store_revision prefix_mirror::reported_until() const
 {
     auto until = this->received_revision;
--- a/coordination/test/config_replica_test.cpp
+++ b/coordination/test/config_replica_test.cpp
@@ -206,8 +206,8 @@
 }
 
 // The store refuses all calls for a while, or leaves them unanswered until they time out. Nobody
-// can change anything meanwhile, and the routers can tell each other so: new work must be accepted
-// at every moment, also before the outage is detected.
+// can change anything meanwhile, and the routers can confirm this to each other: new work must be
+// accepted at every moment, also before the outage is detected.
 static void check_work_during_outage(duration time_to_fail)
 {
     for (int phase = 0; phase < 20; ++phase) {
