--- a/coordination/src/errors.cpp
+++ b/coordination/src/errors.cpp
@@ -14,17 +14,17 @@
     {
         switch (static_cast<coordination_error>(code)) {
         case coordination_error::conflict:
-            return "another change came first";
+            return "another change was applied first";
         case coordination_error::stale_view:
-            return "the change was made on too old a view";
+            return "the change is based on an outdated revision";
         case coordination_error::too_large:
-            return "too large for the key-value service";
+            return "the value is too large for the key-value service";
         case coordination_error::unreadable:
-            return "the stored value cannot be read";
+            return "the stored value cannot be decoded";
         case coordination_error::store_unavailable:
             return "the key-value service cannot be reached; nothing was applied";
         case coordination_error::outcome_unknown:
-            return "the key-value service did not answer; it may have been applied";
+            return "the key-value service did not answer; the write may have been applied";
         }
         return "unknown coordination error " + std::to_string(code);
     }
--- a/coordination/test/prefix_mirror_test.cpp
+++ b/coordination/test/prefix_mirror_test.cpp
@@ -421,8 +421,8 @@
 }
 
 // Callers are sent to an endpoint for 2.5 s after it has left. The store had refused this router
-// and, according to the others, served them all the time. When it is served again, it sees that the
-// endpoint's key is missing, and waited for the key as if the store had been unavailable to the
+// and, according to the others, served them all the time. When it was served again, the endpoint's
+// key was missing, and this router waited for the key as if the store had been unavailable to the
 // endpoint as well.
 TEST(prefix_mirror, a_removal_applies_at_once_if_the_store_served_others_all_the_time)
 {
