--- a/coordination/include/pearhaven/coordination/peer_exchange.hpp
+++ b/coordination/include/pearhaven/coordination/peer_exchange.hpp
@@ -37,11 +37,11 @@
 
     // Maximum number of peers that receive this router's loads, those in its zone first. This
     // bounds what a large fleet sends; most requests stay in their zone.
-    std::size_t max_load_recipients = decision::told_usually;
+    std::size_t load_fanout = decision::told_usually;
 
     // Maximum number of peers that receive this router's load at an endpoint that many routers fill
     // at the same time.
-    std::size_t max_filling_recipients = decision::told_when_filling;
+    std::size_t load_fanout_when_filling = decision::told_when_filling;
 
     // Time between two pulls from peers while the store does not answer this router.
     decision::duration pull_period = std::chrono::milliseconds{300};
--- a/coordination/src/peer_exchange.cpp
+++ b/coordination/src/peer_exchange.cpp
@@ -71,7 +71,7 @@
         return;
     }
     this->last_report = {own, now};
-    for (const auto* recipient : this->recipients(this->settings.max_load_recipients)) {
+    for (const auto* recipient : this->recipients(this->settings.load_fanout)) {
         sends.push_back({*recipient, load_push{own}});
     }
 }
@@ -85,8 +85,8 @@
         return;
     }
     this->last_filling_report = {filling, now};
-    const auto all = this->recipients(this->settings.max_filling_recipients);
-    for (std::size_t i = this->settings.max_load_recipients; i < all.size(); ++i) {
+    const auto all = this->recipients(this->settings.load_fanout_when_filling);
+    for (std::size_t i = this->settings.load_fanout; i < all.size(); ++i) {
         sends.push_back({*all[i], load_push{filling}});
     }
 }
