--- a/coordination/include/pearhaven/coordination/watch_share.hpp
+++ b/coordination/include/pearhaven/coordination/watch_share.hpp
@@ -46,7 +46,7 @@
 // only costs calls.
 class watch_share {
 public:
-    explicit watch_share(watch_share_settings initial) : settings(std::move(initial)) {}
+    explicit watch_share(watch_share_settings chosen) : settings(std::move(chosen)) {}
 
     // The other routers, of all zones.
     void set_peer(const std::string& name, const std::string& zone);
@@ -63,8 +63,7 @@
     [[nodiscard]] bool is_watcher() const;
 
     watch_share_settings settings;
-    std::map<std::string, std::uint64_t>
-        zone_peers; // the other routers of the zone, with their ranks
+    std::map<std::string, std::uint64_t> zone_peers; // other routers of the zone, with their ranks
     decision::instant fresh_until;
 };
 
