--- a/adapters/include/pearhaven/adapters/course_codec.hpp
+++ b/adapters/include/pearhaven/adapters/course_codec.hpp
@@ -11,10 +11,11 @@
 
 // The stored forms of a roll-out's record and evidence: JSON. Reading gives nothing for a text of
 // another form.
-[[nodiscard]] std::string write_course_record(const coordination::course_record& record);
-[[nodiscard]] std::optional<coordination::course_record> read_course_record(std::string_view text);
-[[nodiscard]] std::string write_course_evidence(const coordination::course_evidence& evidence);
-[[nodiscard]] std::optional<coordination::course_evidence>
+[[nodiscard]] std::string write_course_record(const coordination::progress_record& record);
+[[nodiscard]] std::optional<coordination::progress_record>
+read_course_record(std::string_view text);
+[[nodiscard]] std::string write_course_evidence(const coordination::router_evidence& evidence);
+[[nodiscard]] std::optional<coordination::router_evidence>
 read_course_evidence(std::string_view text);
 
 } // namespace pearhaven::adapters
--- a/adapters/src/course_codec.cpp
+++ b/adapters/src/course_codec.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-using coordination::course_evidence;
-using coordination::course_record;
-using coordination::course_state;
+using coordination::progress_record;
+using coordination::progress_state;
+using coordination::router_evidence;
 using nlohmann::json;
 
-constexpr std::array<stored_name<course_state>, 5> state_names = {
-    {{course_state::staged, "staged"},
-     {course_state::loaded, "loaded"},
-     {course_state::whole, "whole"},
-     {course_state::finished, "finished"},
-     {course_state::bad, "bad"}}};
+constexpr std::array<stored_name<progress_state>, 5> state_names = {
+    {{progress_state::staged, "staged"},
+     {progress_state::load_trial, "loaded"},
+     {progress_state::full_traffic, "whole"},
+     {progress_state::finished, "finished"},
+     {progress_state::bad, "bad"}}};
 
 // What another writer may have put in place of a count or a share. A step is counted through, one
 // by one, whenever it is looked up; a rate is added to others.
@@ -39,9 +39,9 @@
     return count_field(value, name, most_answers);
 }
 
-course_record read_record_value(const json& value)
+progress_record read_record_value(const json& value)
 {
-    course_record record;
+    progress_record record;
     record.run = count_field(value, "run");
     record.step = short_count_field(value, "step", most_steps);
     record.routers = short_count_field(value, "routers", most_routers);
@@ -84,19 +84,19 @@
     return levels;
 }
 
-course_evidence read_evidence_value(const json& value)
+router_evidence read_evidence_value(const json& value)
 {
-    course_evidence evidence;
+    router_evidence evidence;
     evidence.run = count_field(value, "run");
-    evidence.part = read_name(state_names, text_field(value, "part"));
+    evidence.state = read_name(state_names, text_field(value, "part"));
     evidence.seen.good = answers_field(value, "good");
     evidence.seen.bad = answers_field(value, "bad");
     evidence.speed.good = answers_field(value, "quick");
     evidence.speed.bad = answers_field(value, "slow");
     evidence.earlier.good = answers_field(value, "earlier_good");
     evidence.earlier.bad = answers_field(value, "earlier_bad");
-    evidence.long_rate = number_field(value, "long_rate");
-    if (evidence.long_rate < 0.0 || evidence.long_rate > highest_rate) {
+    evidence.long_answer_rate = number_field(value, "long_rate");
+    if (evidence.long_answer_rate < 0.0 || evidence.long_answer_rate > highest_rate) {
         throw malformed_value();
     }
     evidence.under_load = read_load_counts(value);
@@ -105,7 +105,7 @@
 
 } // namespace
 
-std::string write_course_record(const course_record& record)
+std::string write_course_record(const progress_record& record)
 {
     return to_stored_text({{"run", record.run},
                            {"step", record.step},
@@ -115,26 +115,26 @@
                            {"state", write_name(state_names, record.state)}});
 }
 
-std::optional<course_record> read_course_record(std::string_view text)
+std::optional<progress_record> read_course_record(std::string_view text)
 {
     return read_stored_text(text, read_record_value);
 }
 
-std::string write_course_evidence(const course_evidence& evidence)
+std::string write_course_evidence(const router_evidence& evidence)
 {
     return to_stored_text({{"run", evidence.run},
-                           {"part", write_name(state_names, evidence.part)},
+                           {"part", write_name(state_names, evidence.state)},
                            {"good", evidence.seen.good},
                            {"bad", evidence.seen.bad},
                            {"quick", evidence.speed.good},
                            {"slow", evidence.speed.bad},
                            {"earlier_good", evidence.earlier.good},
                            {"earlier_bad", evidence.earlier.bad},
-                           {"long_rate", evidence.long_rate},
+                           {"long_rate", evidence.long_answer_rate},
                            {"under_load", write_load_counts(evidence.under_load)}});
 }
 
-std::optional<course_evidence> read_course_evidence(std::string_view text)
+std::optional<router_evidence> read_course_evidence(std::string_view text)
 {
     return read_stored_text(text, read_evidence_value);
 }
--- a/adapters/test/course_codec_test.cpp
+++ b/adapters/test/course_codec_test.cpp
@@ -11,9 +11,10 @@
 
 TEST(course_codec, a_record_reads_as_it_was_written)
 {
-    for (const auto state : {course_state::staged, course_state::loaded, course_state::whole,
-                             course_state::finished, course_state::bad}) {
-        const course_record written{28, 3, 9, 40'000, state, 250'000};
+    for (const auto state :
+         {progress_state::staged, progress_state::load_trial, progress_state::full_traffic,
+          progress_state::finished, progress_state::bad}) {
+        const progress_record written{28, 3, 9, 40'000, state, 250'000};
         const auto read = read_course_record(write_course_record(written));
         CHECK_TRUE(read.has_value());
         CHECK_TRUE(written == *read);
@@ -44,7 +45,7 @@
 TEST(course_codec, a_record_with_a_number_that_does_not_fit_is_none)
 {
     const auto written =
-        write_course_record({28, 3, 9, 40'000, pearhaven::coordination::course_state::staged});
+        write_course_record({28, 3, 9, 40'000, pearhaven::coordination::progress_state::staged});
     for (const auto* const other : {R"("step":-1)", R"("step":4000000000)", R"("step":2.5)",
                                     R"("step":"3")", R"("step":null)"}) {
         auto text = written;
@@ -61,7 +62,7 @@
 TEST(course_codec, evidence_with_a_number_that_does_not_fit_is_none)
 {
     const auto written = write_course_evidence(
-        {28, pearhaven::coordination::course_state::loaded, {31, 2}, {20, 7}, {11, 1}, 3.5});
+        {28, pearhaven::coordination::progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5});
     for (const auto* const other : {R"("bad":-2)", R"("bad":1e300)", R"("bad":[2])"}) {
         auto text = written;
         text.replace(text.find(R"("bad":2)"), 7, other);
@@ -76,7 +77,7 @@
 
 TEST(course_codec, evidence_reads_as_it_was_written)
 {
-    course_evidence written{28, course_state::loaded, {31, 2}, {20, 7}, {11, 1}, 3.5};
+    router_evidence written{28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5};
     written.under_load = {{{4, 0}, {9, 1}, {0, 0}, {3, 2}, {0, 5}, {0, 0}, {0, 0}, {1, 0}}};
     const auto read = read_course_evidence(write_course_evidence(written));
     CHECK_TRUE(read.has_value());
@@ -95,7 +96,7 @@
 
 TEST(course_codec, evidence_with_runs_under_load_of_another_shape_is_none)
 {
-    course_evidence evidence{28, course_state::loaded, {31, 2}, {20, 7}, {11, 1}, 3.5};
+    router_evidence evidence{28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5};
     evidence.under_load.at(0) = {77, 0};
     const auto written = write_course_evidence(evidence);
     const std::string level = R"({"bad":0,"good":77})";
@@ -120,9 +121,9 @@
 // that nobody has ordered.
 TEST(course_codec, numbers_outside_their_range_are_not_read)
 {
-    const auto record = write_course_record({28, 3, 9, 40'000, course_state::loaded});
+    const auto record = write_course_record({28, 3, 9, 40'000, progress_state::load_trial});
     const auto evidence =
-        write_course_evidence({28, course_state::loaded, {31, 2}, {20, 7}, {11, 1}, 3.5});
+        write_course_evidence({28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5});
     const auto with = [](std::string text, const std::string& old, const std::string& number) {
         return text.replace(text.find(old), old.size(), number);
     };
--- a/adapters/test/parser_fuzz_test.cpp
+++ b/adapters/test/parser_fuzz_test.cpp
@@ -259,10 +259,10 @@
 
 TEST(parser_fuzz, records_and_evidence_of_rollouts)
 {
-    using coordination::course_state;
+    using coordination::progress_state;
     const std::vector<std::string> examples = {
-        write_course_record({28, 3, 9, 40'000, course_state::loaded}),
-        write_course_evidence({28, course_state::loaded, {31, 2}, {20, 7}, {11, 1}, 3.5})};
+        write_course_record({28, 3, 9, 40'000, progress_state::load_trial}),
+        write_course_evidence({28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5})};
     CHECK_TRUE(read_course_record(examples[0]).has_value());
     CHECK_TRUE(read_course_evidence(examples[1]).has_value());
     const auto wrong = first_fault(examples, 1'000, [](const std::string& bytes, byte_mutator&) {
--- a/coordination/include/pearhaven/coordination/once_claims.hpp
+++ b/coordination/include/pearhaven/coordination/once_claims.hpp
@@ -46,7 +46,7 @@
     incarnation_id self;
     decision::duration claim_patience = std::chrono::seconds{2}; // then the request is refused
     decision::duration store_patience = std::chrono::milliseconds{700}; // for one call
-    decision::duration holder_patience = std::chrono::seconds{10}; // for a holder that nobody sees
+    decision::duration holder_timeout = std::chrono::seconds{10}; // for a holder that nobody sees
     decision::duration first_retry = std::chrono::milliseconds{50};
     decision::duration longest_retry = std::chrono::seconds{2};
     decision::duration abandoned_memory = std::chrono::minutes{2}; // for a claim that may yet land
--- a/coordination/include/pearhaven/coordination/rollout_course.hpp
+++ b/coordination/include/pearhaven/coordination/rollout_course.hpp
@@ -16,51 +16,52 @@
 
 // How far a roll-out has come. Written only by compare-and-swap, so that its states follow each
 // other in one order for all routers; `bad` and `finished` are final.
-enum class course_state : std::uint8_t {
-    staged,   // callers are granted step by step
-    loaded,   // one endpoint is filled with long answers, to see whether the version bears it
-    whole,    // all new work goes to the new version, which is still watched
-    finished, // the old version is not needed any more
-    bad,      // nothing new goes to the new version
+enum class progress_state : std::uint8_t {
+    staged,       // callers are granted step by step
+    load_trial,   // one endpoint is filled with long answers, to see whether the version bears it
+    full_traffic, // all new work goes to the new version, which is still watched
+    finished,     // the old version is not needed any more
+    bad,          // nothing new goes to the new version
 };
 
-struct course_record {
+struct progress_record {
     std::uint64_t run = 0;         // names this attempt: the store's revision of its order
     std::uint32_t step = 0;        // of the staged part
     std::uint32_t routers = 0;     // among which each step's callers are divided
     std::uint32_t session_ppm = 0; // of the sessions, in a million, that move before all do
-    course_state state = course_state::staged;
+    progress_state state = progress_state::staged;
     std::uint32_t fill_ppm = 1'000'000; // of the requests that may fill an endpoint, that do
 
-    friend bool operator==(const course_record&, const course_record&) = default;
+    friend bool operator==(const progress_record&, const progress_record&) = default;
 };
 
 // What one router has seen of the new version in one part of an attempt. Parts are counted apart:
 // the good answers of a quiet one would hide the bad ones of the next.
-struct course_evidence {
+struct router_evidence {
     std::uint64_t run = 0;
-    course_state part = course_state::staged;
+    progress_state state = progress_state::staged;
     decision::run_counts seen;
-    decision::run_counts speed;         // slow answers count as bad
-    decision::run_counts earlier;       // as `seen`, of the parts before
-    double long_rate = 0.0;             // long answers begun by this router each second
-    decision::load_counts under_load{}; // of all parts; see `course_settings::load_per_slot`
+    decision::run_counts speed;    // slow answers count as bad
+    decision::run_counts earlier;  // as `seen`, of the parts before
+    double long_answer_rate = 0.0; // long answers begun by this router each second
+    decision::load_counts
+        under_load{}; // of all parts; see `rollout_progress_settings::load_per_slot`
 
-    friend bool operator==(const course_evidence&, const course_evidence&) = default;
+    friend bool operator==(const router_evidence&, const router_evidence&) = default;
 };
 
 // An operator's order to move a model's traffic to another version.
-struct course_order {
+struct model_rollout_order {
     std::string from;
     std::string to;
     std::uint64_t run = 0;
     decision::duration time{}; // in which it is to be done
     std::uint32_t slots = 0;   // requests that one endpoint of the new version runs at once
 
-    friend bool operator==(const course_order&, const course_order&) = default;
+    friend bool operator==(const model_rollout_order&, const model_rollout_order&) = default;
 };
 
-struct course_settings {
+struct rollout_progress_settings {
     // Callers of the whole fleet that may have met the new version by each step. A version of which
     // a third of the answers fail is found out by about twenty of them.
     std::vector<std::uint32_t> step_callers = {20, 45, 75, 110};
@@ -168,36 +169,36 @@
 };
 
 // What a router serves of the model each second, and sees of the trial under load.
-struct course_rates {
+struct request_rates {
     double requests = 0.0;
     double long_answers = 0.0;
 
-    friend bool operator==(const course_rates&, const course_rates&) = default;
+    friend bool operator==(const request_rates&, const request_rates&) = default;
 };
 
 // What a course goes by: counts of all routers, as far as they have told them, and how much more
 // likely a bad version is than a good one to give these, as logarithms.
-struct course_sight {
-    decision::run_counts in_part;
-    decision::run_counts ever;
+struct rollout_observation {
+    decision::run_counts in_state;
+    decision::run_counts total;
     decision::run_counts speed; // in this part
     decision::load_counts under_load{};
-    double part_ratio = 0.0;
-    double ever_ratio = 0.0;
+    double state_ratio = 0.0;
+    double total_ratio = 0.0;
     double speed_ratio = 0.0;
     double load_ratio = 0.0;
-    std::size_t heard = 0; // routers that have told anything
+    std::size_t reporters = 0; // routers that have told anything
     decision::duration since_order{};
     decision::duration since_step{};
 
-    friend bool operator==(const course_sight&, const course_sight&) = default;
+    friend bool operator==(const rollout_observation&, const rollout_observation&) = default;
 };
 
 // What a course wants done. Of the writes at most one is under way at a time.
-struct course_actions {
-    std::optional<course_record> write_record; // over the record at `record_revision`
+struct progress_actions {
+    std::optional<progress_record> write_record; // over the record at `record_revision`
     store_revision record_revision = 0;
-    std::optional<course_evidence> report; // in place of this router's earlier one
+    std::optional<router_evidence> report; // in place of this router's earlier one
     bool trip = false;                     // the new version gets nothing new here, at once
 };
 
@@ -208,14 +209,15 @@
 //
 // Each router tests the evidence of all together, and its own at once, and stops sending before
 // anything is written.
-class rollout_course {
+class rollout_progress {
 public:
-    rollout_course(course_settings settings, course_order order, decision::instant now);
+    rollout_progress(rollout_progress_settings settings, model_rollout_order order,
+                     decision::instant now);
 
-    [[nodiscard]] const course_order& order() const { return this->what; }
+    [[nodiscard]] const model_rollout_order& order() const { return this->what; }
 
     // The record as the store holds it; none where it has no record yet.
-    void on_record(const std::optional<course_record>& record, store_revision revision,
+    void on_record(const std::optional<progress_record>& record, store_revision revision,
                    decision::instant now);
 
     // The store's value at `revision` is no record. A course that knows what the record said goes
@@ -224,7 +226,7 @@
     // before the order cannot be a record of it, and is written over.
     void on_unreadable_record(store_revision revision, decision::instant now);
 
-    void on_evidence(const std::string& router, const course_evidence& told);
+    void on_evidence(const std::string& router, const router_evidence& told);
     void on_own_evidence(const decision::run_counts& seen, const decision::run_counts& speed,
                          bool tripped, const decision::load_counts& under_load = {});
 
@@ -233,18 +235,18 @@
     void on_written(decision::instant now);
 
     // `rank` is this router's place among `size` live ones.
-    [[nodiscard]] course_actions on_tick(std::size_t rank, std::size_t size,
-                                         const course_rates& rates, decision::instant now);
+    [[nodiscard]] progress_actions on_tick(std::size_t rank, std::size_t size,
+                                           const request_rates& rates, decision::instant now);
 
-    [[nodiscard]] const std::optional<course_record>& record() const { return this->held; }
+    [[nodiscard]] const std::optional<progress_record>& record() const { return this->held; }
 
     // Whether it can neither begin nor go on, for a record that it cannot read.
     [[nodiscard]] bool waits_for_record() const { return this->unreadable_since && !this->held; }
 
-    [[nodiscard]] const course_evidence& own_evidence() const { return this->own; }
+    [[nodiscard]] const router_evidence& own_evidence() const { return this->own; }
 
     // What its decisions go by now, for the log.
-    [[nodiscard]] course_sight sight(decision::instant now) const;
+    [[nodiscard]] rollout_observation observation(decision::instant now) const;
 
     // For the router's configuration.
     [[nodiscard]] decision::rollout plan(const std::string& name) const;
@@ -256,13 +258,13 @@
     error_test(double false_alarm = decision::error_guard().false_alarm) const;
     [[nodiscard]] decision::sequential_test load_test() const;
     [[nodiscard]] decision::run_counts
-    in_this_part(decision::run_counts course_evidence::*kind) const;
+    in_this_part(decision::run_counts router_evidence::*kind) const;
     [[nodiscard]] decision::run_counts all_seen_ever() const;
     [[nodiscard]] bool is_slow(const decision::run_counts& speed) const;
     [[nodiscard]] decision::sequential_test speed_test() const;
     [[nodiscard]] bool seems_slow() const;
     [[nodiscard]] bool is_whole() const;
-    [[nodiscard]] course_state part_of_course() const;
+    [[nodiscard]] progress_state part_of_course() const;
     [[nodiscard]] bool has_news() const;
     [[nodiscard]] bool rate_is_due(std::size_t rank, std::size_t size, decision::instant now) const;
     [[nodiscard]] double fleet_rate(std::size_t size) const;
@@ -277,43 +279,43 @@
     [[nodiscard]] bool is_doubtful_under_load() const;
     [[nodiscard]] bool has_loaded_news() const;
     [[nodiscard]] bool rate_has_fallen() const;
-    [[nodiscard]] course_record first_record(std::size_t size) const;
+    [[nodiscard]] progress_record first_record(std::size_t size) const;
     [[nodiscard]] std::uint32_t sample_ppm(std::size_t size, double request_rate) const;
-    [[nodiscard]] std::optional<course_state> state_after_staged(std::size_t size,
-                                                                 decision::duration elapsed) const;
-    [[nodiscard]] std::optional<course_record>
-    next_record(std::size_t size, const course_rates& rates, decision::instant now) const;
-    [[nodiscard]] std::optional<course_record> mended_record(decision::instant now) const;
-    [[nodiscard]] bool has_late_turn(const std::optional<course_record>& next, std::size_t rank,
+    [[nodiscard]] std::optional<progress_state>
+    state_after_staged(std::size_t size, decision::duration elapsed) const;
+    [[nodiscard]] std::optional<progress_record>
+    next_record(std::size_t size, const request_rates& rates, decision::instant now) const;
+    [[nodiscard]] std::optional<progress_record> mended_record(decision::instant now) const;
+    [[nodiscard]] bool has_late_turn(const std::optional<progress_record>& next, std::size_t rank,
                                      decision::instant now);
-    void ask_for_write(const std::optional<course_record>& record, decision::instant now,
-                       course_actions& wanted);
-    [[nodiscard]] std::optional<course_state> next_state(std::size_t size,
-                                                         decision::instant now) const;
-    [[nodiscard]] std::optional<course_state> state_after_trial(std::size_t size,
-                                                                decision::instant now) const;
-    [[nodiscard]] std::optional<course_state> state_after_whole(decision::duration in_step,
-                                                                decision::duration elapsed) const;
+    void ask_for_write(const std::optional<progress_record>& record, decision::instant now,
+                       progress_actions& wanted);
+    [[nodiscard]] std::optional<progress_state> next_state(std::size_t size,
+                                                           decision::instant now) const;
+    [[nodiscard]] std::optional<progress_state> state_after_trial(std::size_t size,
+                                                                  decision::instant now) const;
+    [[nodiscard]] std::optional<progress_state> state_after_whole(decision::duration in_step,
+                                                                  decision::duration elapsed) const;
     [[nodiscard]] decision::duration part(double share) const;
 
-    course_settings settings;
-    course_order what;
+    rollout_progress_settings settings;
+    model_rollout_order what;
     decision::instant began;
-    std::optional<course_record> held;
+    std::optional<progress_record> held;
     store_revision held_revision = 0;
     std::optional<decision::instant> unreadable_since; // while the store's value is no record
     decision::instant step_began;
-    std::map<std::string, course_evidence> others; // by router
+    std::map<std::string, router_evidence> others; // by router
     decision::load_counts others_under_load{};     // of all of them
-    course_evidence own;
+    router_evidence own;
     bool own_tripped = false;
     bool told_trip = false;
-    course_evidence reported;
+    router_evidence reported;
     bool told_rate = false;
     decision::instant next_report;
     bool writing = false;
     decision::instant retry_at;
-    std::optional<course_record> due_step; // that it would write
+    std::optional<progress_record> due_step; // that it would write
     decision::instant due_since;
 };
 
--- a/coordination/src/once_claims.cpp
+++ b/coordination/src/once_claims.cpp
@@ -281,7 +281,7 @@
         this->unseen.erase(this->unseen.begin());
     }
     const auto since = this->unseen.emplace(holder, now).first->second;
-    return now - since >= this->settings.holder_patience;
+    return now - since >= this->settings.holder_timeout;
 }
 
 void once_claims::decide(claim_number number, claim_verdict verdict, const std::string& outcome)
--- a/coordination/test/session_versions_test.cpp
+++ b/coordination/test/session_versions_test.cpp
@@ -26,7 +26,7 @@
 struct late_record {
     instant due;
     std::size_t router = 0;
-    course_record record;
+    progress_record record;
     store_revision revision = 0;
 };
 
@@ -43,9 +43,9 @@
     explicit session_fleet(std::uint64_t seed) : random_state(seed)
     {
         for (std::size_t i = 0; i < router_count; ++i) {
-            course_order order{"model@v1", "model@v2", 28, order_time, 64};
-            this->courses.push_back(
-                std::make_unique<rollout_course>(course_settings{}, order, start + this->lag()));
+            model_rollout_order order{"model@v1", "model@v2", 28, order_time, 64};
+            this->courses.push_back(std::make_unique<rollout_progress>(rollout_progress_settings{},
+                                                                       order, start + this->lag()));
             this->exposures.push_back(std::make_unique<rollout_exposure>());
             this->exposures.back()->on_fleet(i, router_count);
             this->exposures.back()->on_configuration(*configuration_builder().build());
@@ -90,9 +90,9 @@
     void step(instant now)
     {
         for (std::size_t i = 0; i < router_count; ++i) {
-            const course_rates rates{0.3, 1.0};
+            const request_rates rates{0.3, 1.0};
             auto& course = *this->courses[i];
-            if (course.record() && course.record()->state == course_state::loaded) {
+            if (course.record() && course.record()->state == progress_state::load_trial) {
                 load_counts enough{};
                 enough.back().good = 30;
                 course.on_own_evidence({}, {}, false, enough);
@@ -155,7 +155,7 @@
     }
 
     std::uint64_t random_state;
-    std::vector<std::unique_ptr<rollout_course>> courses;
+    std::vector<std::unique_ptr<rollout_progress>> courses;
     std::vector<std::unique_ptr<rollout_exposure>> exposures;
     std::map<std::size_t, configuration_ptr> configurations;
     std::vector<late_record> underway;
--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -148,9 +148,9 @@
     // As the course of a roll-out states it when its trial begins.
     [[nodiscard]] rollout plan_of_trial(std::size_t size)
     {
-        course_order order{"adjudicator-1", "adjudicator-2", 3, order_time, slots};
-        rollout_course course({}, order, start);
-        course_rates rates;
+        model_rollout_order order{"adjudicator-1", "adjudicator-2", 3, order_time, slots};
+        rollout_progress course({}, order, start);
+        request_rates rates;
         rates.long_answers = this->rate / static_cast<double>(size);
         rates.requests = rates.long_answers;
         store_revision revision = 4;
@@ -300,12 +300,12 @@
 {
     filling_fleet fleet(routers, long_answers_a_second);
     CHECK_TRUE(fleet.trial.fills_endpoint);
-    fleet.play(
-        std::chrono::duration_cast<duration>(order_time * course_settings().longest_load_part));
+    fleet.play(std::chrono::duration_cast<duration>(order_time *
+                                                    rollout_progress_settings().longest_load_part));
     CHECK_COMPARE(fleet.arrived, >, 0);
     LONGS_EQUAL(0, fleet.refused);
     CHECK_COMPARE(fleet.most_held, <=, 2 * std::size_t{slots});
-    CHECK_COMPARE(fleet.loaded_runs(), >=, course_settings().many_loaded_runs);
+    CHECK_COMPARE(fleet.loaded_runs(), >=, rollout_progress_settings().many_loaded_runs);
 }
 
 } // namespace
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -30,7 +30,7 @@
 constexpr std::chrono::seconds refusal_bound{10};
 
 // From the loss of a claim's holder to its end: its death is found, and it is missed for 10 s.
-constexpr std::chrono::seconds holder_patience{60};
+constexpr std::chrono::seconds holder_timeout{60};
 
 // A step of the engines then takes 1 s.
 constexpr double standstill = 500;
@@ -277,7 +277,7 @@
             return told.second.code == "outcome_unknown" && told.second.run == "unknown";
         });
     };
-    const bool are_unknown = eventually(all_unknown, holder_patience);
+    const bool are_unknown = eventually(all_unknown, holder_timeout);
     for (const auto& key : keys) {
         CHECK_TRUE_TEXT(are_unknown, last[key].to_text().c_str());
         CHECK_EQUAL(std::string("outcome_unknown"), this->chat(2, key).code);
