--- a/adapters/include/pearhaven/adapters/course_codec.hpp
+++ b/adapters/include/pearhaven/adapters/course_codec.hpp
@@ -1,7 +1,7 @@
 #ifndef PEARHAVEN_ADAPTERS_COURSE_CODEC_HPP
 #define PEARHAVEN_ADAPTERS_COURSE_CODEC_HPP
 
-#include "pearhaven/coordination/rollout_course.hpp"
+#include "pearhaven/coordination/rollout_progress.hpp"
 
 #include <optional>
 #include <string>
--- a/coordination/include/pearhaven/coordination/rollout_course.hpp
+++ b/coordination/include/pearhaven/coordination/rollout_progress.hpp
@@ -1,5 +1,5 @@
-#ifndef PEARHAVEN_COORDINATION_ROLLOUT_COURSE_HPP
-#define PEARHAVEN_COORDINATION_ROLLOUT_COURSE_HPP
+#ifndef PEARHAVEN_COORDINATION_ROLLOUT_PROGRESS_HPP
+#define PEARHAVEN_COORDINATION_ROLLOUT_PROGRESS_HPP
 
 #include "pearhaven/coordination/key_value.hpp"
 #include "pearhaven/decision/configuration.hpp"
--- a/coordination/src/rollout_course.cpp
+++ b/coordination/src/rollout_progress.cpp
@@ -1,4 +1,4 @@
-#include "pearhaven/coordination/rollout_course.hpp"
+#include "pearhaven/coordination/rollout_progress.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -1,5 +1,5 @@
 #include "pearhaven/coordination/peer_exchange.hpp"
-#include "pearhaven/coordination/rollout_course.hpp"
+#include "pearhaven/coordination/rollout_progress.hpp"
 #include "pearhaven/decision/dispatcher.hpp"
 #include "pearhaven/decision/mix.hpp"
 
