--- a/coordination/include/pearhaven/coordination/bill_ledger.hpp
+++ b/coordination/include/pearhaven/coordination/bill_ledger.hpp
@@ -43,11 +43,11 @@
     std::size_t batch_bills = 500; // bills in one copy message
     decision::duration commit_period =
         std::chrono::milliseconds{50}; // between two writes at the least
-    decision::duration store_patience = std::chrono::milliseconds{300}; // then copies go to peers
+    decision::duration store_timeout = std::chrono::milliseconds{300}; // then copies go to peers
     decision::duration copy_resend = std::chrono::milliseconds{500};
     // After it, the copies of an owner that is not among the live peers go to the store: its death
     // may have been told before its last copy came, or while this router was not listening.
-    decision::duration owner_patience = std::chrono::seconds{30};
+    decision::duration owner_timeout = std::chrono::seconds{30};
     decision::duration first_retry = std::chrono::milliseconds{200};
     decision::duration longest_retry = std::chrono::seconds{2};
 };
@@ -83,7 +83,7 @@
     // The codec must outlive the ledger.
     bill_ledger(bill_ledger_settings settings, const bill_page_codec& codec);
 
-    void on_bill(bill due, decision::instant now);
+    void on_bill(bill added, decision::instant now);
     void on_tick(decision::instant now);
     void on_reply(call_tag tag, const kv_reply& reply, decision::instant now);
     void on_message(const member_address& from, const peer_message& message, decision::instant now);
@@ -106,7 +106,7 @@
     struct page_write {
         call_tag tag = 0;
         std::uint64_t page = 0;
-        bool reads = false; // asks what became of an ambiguous write
+        bool is_read = false; // asks what became of an ambiguous write
         decision::instant start;
         std::vector<bill> contents; // what stands on the page once this write has landed
     };
@@ -118,7 +118,7 @@
         decision::instant last_sent;
         bool safe = false;
     };
-    struct rescue_write {
+    struct recovery_write {
         std::string key;
         std::string value;
     };
@@ -127,18 +127,18 @@
     void write_page(decision::instant now);
     void read_page(decision::instant now);
     void on_page_state(const kv_entry& entry, decision::instant now);
-    void on_landed(const std::vector<bill>& on_page);
+    void on_committed(const std::vector<bill>& on_page);
     void on_write_failed(decision::instant now);
     void copy_when_due(decision::instant now);
     void make_batches(decision::instant now);
     void send_batch(std::uint64_t number, copy_batch& batch, decision::instant now);
     void check_batch(copy_batch& batch);
-    void drop_landed_batches();
+    void drop_committed_batches();
     [[nodiscard]] std::vector<const member*> copy_targets() const;
-    [[nodiscard]] bool store_is_late(decision::instant now) const;
+    [[nodiscard]] bool is_store_slow(decision::instant now) const;
     void hold(const member_address& from, const bill_copy& copy);
-    void rescue_of_missing_owners(decision::instant now);
-    void rescue_when_due(decision::instant now);
+    void recover_missing_owners(decision::instant now);
+    void recover_when_due(decision::instant now);
     void mark_safe(const std::string& request);
     [[nodiscard]] std::string page_key(std::uint64_t page) const;
 
@@ -149,7 +149,7 @@
     std::deque<bill> pending;     // not known to be in the store, oldest first
     std::set<std::string> unsafe; // requests whose safety is still to be told
     std::uint64_t page = 1;
-    std::vector<bill> landed; // on the current page
+    std::vector<bill> committed; // on the current page
     store_revision page_revision = 0;
     std::optional<page_write> write;
     bool ambiguous = false;
@@ -163,11 +163,12 @@
     std::uint64_t next_batch = 1;
 
     std::map<incarnation_id, std::map<std::uint64_t, std::vector<bill>>> held;
-    std::map<incarnation_id, decision::instant> missing; // owners of copies, since they were missed
+    std::map<incarnation_id, decision::instant>
+        missing_since; // owners of copies, since they were missed
     std::size_t held_count = 0;
-    std::deque<rescue_write> rescues;
-    std::optional<call_tag> rescue_tag;
-    decision::instant next_rescue;
+    std::deque<recovery_write> recoveries;
+    std::optional<call_tag> recovery_tag;
+    decision::instant next_recovery;
 
     call_tag next_tag = 1;
     std::vector<action> actions;
--- a/coordination/include/pearhaven/coordination/lease_holder.hpp
+++ b/coordination/include/pearhaven/coordination/lease_holder.hpp
@@ -44,7 +44,7 @@
     decision::duration margin = std::chrono::seconds{2};
     // After this no endpoint still acts on an order that was sent.
     decision::duration longest_order = std::chrono::seconds{10};
-    decision::duration look_period = std::chrono::seconds{2}; // of candidates that do not hold it
+    decision::duration poll_period = std::chrono::seconds{2}; // of candidates that do not hold it
     decision::duration retry = std::chrono::milliseconds{500};
 };
 
@@ -106,7 +106,7 @@
     [[nodiscard]] fencing_number number() const { return this->taken ? this->taken->number : 0; }
 
 private:
-    enum class phase { looking, granting, creating, checking, renewing };
+    enum class phase { polling, granting, creating, checking, renewing };
 
     struct holding {
         fencing_number number = 0;
@@ -114,7 +114,7 @@
     };
 
     void call(phase next, kv_request request, decision::instant now);
-    void on_looked(const kv_reply& reply, decision::instant now);
+    void on_polled(const kv_reply& reply, decision::instant now);
     void on_granted(const kv_reply& reply, decision::instant now);
     void on_created(const kv_reply& reply, decision::instant now);
     void on_checked(const kv_reply& reply, decision::instant now);
@@ -123,7 +123,7 @@
     void take(fencing_number number, decision::instant now);
     void give_up(decision::instant now);
     [[nodiscard]] std::optional<duty_record> read(const kv_reply& reply);
-    [[nodiscard]] decision::duration spread();
+    [[nodiscard]] decision::duration jitter();
 
     lease_holder_settings settings;
     const duty_codec& codec;
@@ -131,7 +131,7 @@
     bool is_candidate = false;
     std::uint64_t random;
 
-    phase step = phase::looking;
+    phase step = phase::polling;
     decision::instant due;
     std::optional<call_tag> open_call;
     decision::instant call_start;
--- a/coordination/include/pearhaven/coordination/once_claims.hpp
+++ b/coordination/include/pearhaven/coordination/once_claims.hpp
@@ -44,13 +44,14 @@
 
 struct once_claims_settings {
     incarnation_id self;
-    decision::duration claim_patience = std::chrono::seconds{2}; // then the request is refused
-    decision::duration store_patience = std::chrono::milliseconds{700}; // for one call
+    decision::duration claim_timeout = std::chrono::seconds{2}; // then the request is refused
+    decision::duration store_timeout = std::chrono::milliseconds{700}; // for one call
     decision::duration holder_timeout = std::chrono::seconds{10}; // for a holder that nobody sees
     decision::duration first_retry = std::chrono::milliseconds{50};
     decision::duration longest_retry = std::chrono::seconds{2};
-    decision::duration abandoned_memory = std::chrono::minutes{2}; // for a claim that may yet land
-    std::size_t max_open = 20'000;                                 // claims with work left to do
+    decision::duration abandoned_retention =
+        std::chrono::minutes{2};   // for a claim that may yet land
+    std::size_t max_open = 20'000; // claims with work left to do
 };
 
 // Names one claim of this process.
@@ -116,11 +117,11 @@
         std::string key;
         claim_record record;
         phase step = phase::creating;
-        store_revision revision = 0; // on which the next write is made
-        bool loose_write = false;    // a write without a reply may land at any time
+        store_revision revision = 0;   // on which the next write is made
+        bool unresolved_write = false; // a write without a reply may land at any time
         std::optional<call_tag> call;
         decision::instant call_start;
-        decision::instant began;
+        decision::instant start_time;
         decision::instant next_call;
         decision::duration retry_delay{};
     };
@@ -134,8 +135,8 @@
     bool on_written(claim_number number, claim_work& work, store_revision revision);
     bool on_others_claim(claim_number number, claim_work& work, const kv_entry& entry,
                          const claim_record& found, decision::instant now);
-    void close_for_gone_holder(const kv_entry& entry, claim_record found);
-    [[nodiscard]] bool is_gone(const incarnation_id& holder, decision::instant now);
+    void close_for_dead_holder(const kv_entry& entry, claim_record found);
+    [[nodiscard]] bool is_presumed_dead(const incarnation_id& holder, decision::instant now);
     bool give_up_creating(claim_number number, claim_work& work, decision::instant now);
     void decide(claim_number number, claim_verdict verdict, const std::string& outcome);
     void wait(claim_work& work, decision::instant now);
@@ -145,7 +146,8 @@
     std::map<claim_number, claim_work> claims;
     std::map<call_tag, claim_number> calls;
     std::set<incarnation_id> live;
-    std::map<incarnation_id, decision::instant> unseen; // holders, since they were first missed
+    std::map<incarnation_id, decision::instant>
+        missing_since; // holders, since they were first missed
     claim_number next_claim = 1;
     call_tag next_tag = 1;
     std::vector<action> actions;
--- a/coordination/include/pearhaven/coordination/rollout_progress.hpp
+++ b/coordination/include/pearhaven/coordination/rollout_progress.hpp
@@ -14,38 +14,39 @@
 
 namespace pearhaven::coordination {
 
-// How far a roll-out has come. Written only by compare-and-swap, so that its states follow each
-// other in one order for all routers; `bad` and `finished` are final.
+// State of a rollout. It is written only by compare-and-swap, so all routers see its changes in the
+// same order; `bad` and `finished` are final.
 enum class progress_state : std::uint8_t {
-    staged,       // callers are granted step by step
-    load_trial,   // one endpoint is filled with long answers, to see whether the version bears it
-    full_traffic, // all new work goes to the new version, which is still watched
-    finished,     // the old version is not needed any more
-    bad,          // nothing new goes to the new version
+    staged,       // callers are admitted to the new version step by step
+    load_trial,   // one endpoint is filled with long answers, to test the version under load
+    full_traffic, // all new requests go to the new version, which is still monitored
+    finished,     // the old version is no longer needed
+    bad,          // the new version gets no new requests
 };
 
 struct progress_record {
-    std::uint64_t run = 0;         // names this attempt: the store's revision of its order
-    std::uint32_t step = 0;        // of the staged part
-    std::uint32_t routers = 0;     // among which each step's callers are divided
-    std::uint32_t session_ppm = 0; // of the sessions, in a million, that move before all do
+    std::uint64_t run = 0;         // identifies this attempt: the store's revision of its order
+    std::uint32_t step = 0;        // index into `step_callers` while staged
+    std::uint32_t routers = 0;     // routers that share each step's callers
+    std::uint32_t session_ppm = 0; // sessions per million that move before all others
     progress_state state = progress_state::staged;
-    std::uint32_t fill_ppm = 1'000'000; // of the requests that may fill an endpoint, that do
+    // requests per million, of those eligible to fill the endpoint, that are sent to it
+    std::uint32_t fill_ppm = 1'000'000;
 
     friend bool operator==(const progress_record&, const progress_record&) = default;
 };
 
-// What one router has seen of the new version in one part of an attempt. Parts are counted apart:
-// the good answers of a quiet one would hide the bad ones of the next.
+// What one router has observed of the new version in the current state of an attempt. States are
+// counted separately: good answers under light load would hide bad ones in the next state.
 struct router_evidence {
     std::uint64_t run = 0;
     progress_state state = progress_state::staged;
     decision::run_counts seen;
     decision::run_counts speed;    // slow answers count as bad
-    decision::run_counts earlier;  // as `seen`, of the parts before
-    double long_answer_rate = 0.0; // long answers begun by this router each second
+    decision::run_counts earlier;  // like `seen`, for the earlier states
+    double long_answer_rate = 0.0; // long answers started by this router per second
     decision::load_counts
-        under_load{}; // of all parts; see `rollout_progress_settings::load_per_slot`
+        under_load{}; // over all states; see `rollout_progress_settings::load_per_slot`
 
     friend bool operator==(const router_evidence&, const router_evidence&) = default;
 };
@@ -55,120 +56,128 @@
     std::string from;
     std::string to;
     std::uint64_t run = 0;
-    decision::duration time{}; // in which it is to be done
-    std::uint32_t slots = 0;   // requests that one endpoint of the new version runs at once
+    decision::duration time{}; // time within which the rollout has to be complete
+    std::uint32_t slots = 0;   // concurrent requests of one endpoint of the new version
 
     friend bool operator==(const model_rollout_order&, const model_rollout_order&) = default;
 };
 
 struct rollout_progress_settings {
-    // Callers of the whole fleet that may have met the new version by each step. A version of which
-    // a third of the answers fail is found out by about twenty of them.
+    // Cumulative number of callers in the fleet that may have used the new version by each step.
+    // About twenty callers are enough to detect a version that fails a third of its answers.
     std::vector<std::uint32_t> step_callers = {20, 45, 75, 110};
 
-    // Parts of the order's time: on each step, until all traffic may go over at the earliest, and
-    // until the old version may stop. Sessions change their version only in the second half. A
-    // quarter is left for a store that is away meanwhile.
-    double step_part = 0.125;
-    double whole_part = 0.505;
-    double finish_part = 0.75;
-
-    // Part of the order's time for which all traffic is on the new version before the old one may
-    // stop, at least. With the longest trial a good version is then done in 0.9 of the time.
-    double least_whole_part = 0.08;
-
-    // Part of the order's time at which doubt is decided. A version that has more bad or slow
-    // answers than a good one is not finished before; if it has at this moment still, it is given
-    // up: it is more likely bad than good, and everybody would meet it.
-    double decision_part = 0.95;
-
-    // Part of the order's time from which a sample of the sessions moves, before all others do. A
-    // session that moves has mostly sent requests to the old version a moment ago, at some other
-    // router, and in the first half of the order none may change its version. Moved then, chosen
-    // few by a rate that one router had measured in its first two seconds, 258 sessions of a fleet
-    // of 80 routers moved in place of ten, and four changed in their midst, where three may. From
-    // the middle on any session may move, as long as it stays moved: so the sample is chosen by
-    // name, alike at every router, and never gets smaller.
-    double sample_part = 0.505;
-
-    // For which the sample is watched before all traffic moves, where no endpoint is filled.
-    double least_sample_part = 0.06;
-
-    // Requests of the sample each second, of the whole fleet, and at most which part of the
-    // sessions it takes. The rate finds a version of which a third of the answers fail within a
-    // second. The bound holds where one router's rate is far below the others'.
+    // Fractions of the order's time: the length of each step, the earliest start of the load trial,
+    // and the earliest time at which the old version may stop. Sessions change their version only
+    // in the second half. The last quarter is reserve for an outage of the store.
+    double step_fraction = 0.125;
+    double trial_start_fraction = 0.505;
+    double finish_fraction = 0.75;
+
+    // Minimum fraction of the order's time for which the new version serves all traffic before the
+    // old one may stop. With the longest trial, a good version then finishes within 0.9 of the
+    // time.
+    double min_full_traffic_fraction = 0.08;
+
+    // Fraction of the order's time at which an inconclusive result is decided. A version with more
+    // bad or slow answers than a good one does not finish earlier; if that is still the case at
+    // this time, it is rejected, since it is more likely bad than good and would affect every
+    // caller.
+    double decision_fraction = 0.95;
+
+    // Fraction of the order's time after which a sample of the sessions moves, ahead of all others.
+    // A session that moves has usually sent requests to the old version shortly before, through
+    // other routers, and must not change its version in the first half of the order. When a small
+    // share was moved in the first half, computed from the rate that one router had measured in its
+    // first two seconds, 258 sessions of a fleet of 80 routers moved instead of ten, and four
+    // changed their version during the session where at most three may. From the middle of the
+    // order any session may move if it does not move back, so the sample is chosen by session name,
+    // is the same on every router and never shrinks.
+    double sample_fraction = 0.505;
+
+    // Minimum fraction of the order's time for which the sample is monitored before all traffic
+    // moves, when no endpoint is filled.
+    double min_sample_fraction = 0.06;
+
+    // Requests of the sample per second in the whole fleet, and the maximum share of the sessions
+    // in it. This rate detects a version that fails a third of its answers within a second. The
+    // maximum matters when one router's rate is far below that of the others.
     double sample_rate = 20.0;
-    double most_sampled = 0.1;
+    double max_sample_share = 0.1;
 
-    // A version can be sound while its endpoints are half empty and fail beyond; at the load of an
-    // ordinary hour nothing shows it, and the first crowd after the roll-out finds it out. So
-    // before all traffic moves, the long answers of all routers go to one endpoint, until it has
-    // got so many for each of its slots. Long answers stay long enough to add up, and their short
-    // prompts keep no one else waiting.
+    // A version can work while its endpoints are half empty and fail under higher load; normal
+    // traffic does not reveal that, and the first peak after the rollout would. So before all
+    // traffic moves, the long answers of all routers go to one endpoint until it has this many for
+    // each of its slots. Long answers run long enough to accumulate, and their short prompts do not
+    // delay other requests.
     double load_per_slot = 1.25;
 
-    // The shortest time in which an endpoint is filled. Routers hear of each other's requests there
-    // some tenths of a second late: many of them would send it several times what it bears
-    // meanwhile. Where callers are more, a part of them fill it.
-    decision::duration least_fill_time = std::chrono::seconds(1);
-    double least_load_per_slot = 0.5; // that can be reached; with less the trial shows nothing
-
-    // Runs that have to begin or fail with the endpoint's load at that level or above: for the
-    // trial to end early, and to have shown anything at its end. Requests that the endpoint holds
-    // unread are no load: they wait for their prompts to be read. Of a version of which a third of
-    // the answers fail under load, the fewer ones miss it one time in twenty-five.
-    std::uint64_t many_loaded_runs = 16;
-    std::uint64_t enough_loaded_runs = 8;
+    // Minimum time over which an endpoint is filled. Routers learn of each other's requests to it
+    // some tenths of a second late, and many routers could meanwhile send it several times its
+    // capacity. If there are more callers than needed, only a share of them fill it.
+    decision::duration min_fill_time = std::chrono::seconds(1);
+    double min_load_per_slot = 0.5; // below this the trial proves nothing
+
+    // Runs that must start or fail while the endpoint's load is at `loaded_level` or above: to end
+    // the trial early, and for the trial to be conclusive at its end. Requests that the endpoint
+    // has queued but not read do not count as load, since they wait for their prompts to be read.
+    // If a version fails a third of its answers under load, the smaller number misses it once in
+    // twenty-five times.
+    std::uint64_t early_end_loaded_runs = 16;
+    std::uint64_t min_loaded_runs = 8;
     std::size_t loaded_level = decision::load_levels / 2;
 
-    // Part of the order's time for which the trial collects its callers, at most; and for which it
-    // goes on where it has not shown enough, or where there are more bad answers than a good
-    // version has but too few to tell.
-    double load_part = 0.2;
-    double longest_load_part = 0.34;
+    // Fractions of the order's time: the maximum for filling the trial's endpoint, and the maximum
+    // for the trial when it has not had enough load, or has more bad answers than a good version
+    // but too few for a verdict.
+    double max_fill_fraction = 0.2;
+    double max_trial_fraction = 0.34;
 
-    // Part of the order's time after which no trial holds up the version any longer. Until then one
-    // that has not shown enough does, where callers could show it: they lose less by a version that
-    // is late than by one that was never tried under load.
-    double end_of_trials_part = 1.5;
+    // Fraction of the order's time after which a trial no longer delays the version. Until then a
+    // trial without enough load does delay it if there are enough callers to provide that load: a
+    // late version costs callers less than one that was never tested under load.
+    double trials_end_fraction = 1.5;
 
-    // Failures under load that put a version in doubt, where they are more than a good one has. One
-    // alone may be an endpoint's.
-    std::uint64_t doubtful_loaded_failures = 2;
+    // Failures under load that make the result inconclusive if they are more than a good version
+    // has. A single failure may be caused by the endpoint.
+    std::uint64_t inconclusive_loaded_failures = 2;
 
-    // Part of the order's time after which each router tells its rate of long answers, from which
-    // the trial's length is worked out: just before the trial, so that the rates are fresh.
-    double rate_part = 0.45;
+    // Fraction of the order's time after which each router reports its rate of long answers, from
+    // which the trial's length is computed. It is just before the trial, so that the rates are
+    // recent.
+    double rate_report_fraction = 0.45;
 
-    // Routers that tell it. In a larger fleet these stand for the others: each report is a write of
-    // the store, and wakes whoever watches it.
-    std::size_t most_rates_told = 32;
+    // Maximum number of routers that report their rate. In a larger fleet they represent the
+    // others: each report is a write to the store and wakes every watcher.
+    std::size_t max_rate_reporters = 32;
 
     double base_error_rate = 0.03; // of a good version
     double max_error_rate = 0.15;  // of a bad one
 
-    // Shares of slow answers, by the pace of streams or the time of whole ones. A good version's
-    // begin with cold caches, and more so when all traffic comes at once.
+    // Shares of slow answers, judged by the token rate of streams or the duration of complete
+    // answers. A good version starts with cold caches, which shows more when all traffic arrives at
+    // once.
     double base_slow_rate = 0.25;
     double max_slow_rate = 0.6;
-    double base_slow_rate_whole = 0.38;
-    double max_slow_rate_whole = 0.62;
+    double base_slow_rate_full_traffic = 0.38;
+    double max_slow_rate_full_traffic = 0.62;
 
-    // Time between two reports of a router's evidence. It bounds the store's load.
+    // Minimum time between two reports of a router's evidence. It bounds the store's load.
     decision::duration report_period = std::chrono::milliseconds(700);
 
-    // Each further router waits so much longer before it writes what all of them want written, as
-    // far as the first ones go.
-    decision::duration turn = std::chrono::milliseconds(400);
-    std::size_t turns = 8;
+    // Additional delay per rank before a router writes a record that all routers want to write, for
+    // the first `delayed_ranks` routers.
+    decision::duration rank_delay = std::chrono::milliseconds(400);
+    std::size_t delayed_ranks = 8;
 
-    // The same for those after them, from when they came to want it: what hundreds of routers learn
-    // at one moment, as the last evidence of a trial, they would else all write at that moment.
-    decision::duration late_turn = std::chrono::milliseconds(25);
-    decision::duration longest_late_wait = std::chrono::seconds(2);
+    // Additional delay per rank for the routers after those, counted from when they first wanted
+    // the write. Otherwise hundreds of routers that learn the same fact at once, such as the last
+    // evidence of a trial, would all write at the same moment.
+    decision::duration late_rank_delay = std::chrono::milliseconds(25);
+    decision::duration max_late_delay = std::chrono::seconds(2);
 };
 
-// What a router serves of the model each second, and sees of the trial under load.
+// A router's requests for the model per second.
 struct request_rates {
     double requests = 0.0;
     double long_answers = 0.0;
@@ -176,97 +185,99 @@
     friend bool operator==(const request_rates&, const request_rates&) = default;
 };
 
-// What a course goes by: counts of all routers, as far as they have told them, and how much more
-// likely a bad version is than a good one to give these, as logarithms.
+// The basis of a rollout's decisions: counts over all routers that have reported, and logarithms of
+// the likelihood ratio of a bad version to a good one given these counts.
 struct rollout_observation {
     decision::run_counts in_state;
     decision::run_counts total;
-    decision::run_counts speed; // in this part
+    decision::run_counts speed; // in the current state
     decision::load_counts under_load{};
     double state_ratio = 0.0;
     double total_ratio = 0.0;
     double speed_ratio = 0.0;
     double load_ratio = 0.0;
-    std::size_t reporters = 0; // routers that have told anything
+    std::size_t reporters = 0; // routers that have reported evidence
     decision::duration since_order{};
     decision::duration since_step{};
 
     friend bool operator==(const rollout_observation&, const rollout_observation&) = default;
 };
 
-// What a course wants done. Of the writes at most one is under way at a time.
+// Actions that a rollout requests. At most one write of the record is in flight at a time.
 struct progress_actions {
-    std::optional<progress_record> write_record; // over the record at `record_revision`
+    std::optional<progress_record> write_record; // replaces the record at `record_revision`
     store_revision record_revision = 0;
-    std::optional<router_evidence> report; // in place of this router's earlier one
-    bool trip = false;                     // the new version gets nothing new here, at once
+    std::optional<router_evidence> report; // replaces this router's earlier report
+    bool trip = false; // this router stops sending new requests to the new version at once
 };
 
-// Takes one roll-out from its order to its end without a leader. Every router follows the same
+// Advances one rollout from its order to its end without a leader. Every router follows the same
 // record and the same evidence, and any of them may write the next step: compare-and-swap lets one
-// win, and waiting by rank mostly leaves the write to the first. So no router's death or pause
-// holds a roll-out up, and there is no lease that a paused holder could act on after its end.
+// write succeed, and a delay by rank mostly leaves the write to the first router. So the death or
+// pause of a router does not delay a rollout, and there is no lease on which a paused holder could
+// act after its expiry.
 //
-// Each router tests the evidence of all together, and its own at once, and stops sending before
-// anything is written.
+// Each router tests the combined evidence of all routers as well as its own, and stops sending
+// requests to a bad version before the record is written.
 class rollout_progress {
 public:
     rollout_progress(rollout_progress_settings settings, model_rollout_order order,
                      decision::instant now);
 
-    [[nodiscard]] const model_rollout_order& order() const { return this->what; }
+    [[nodiscard]] const model_rollout_order& order() const { return this->ordered; }
 
-    // The record as the store holds it; none where it has no record yet.
+    // The record in the store, or none if the store has no record yet.
     void on_record(const std::optional<progress_record>& record, store_revision revision,
                    decision::instant now);
 
-    // The store's value at `revision` is no record. A course that knows what the record said goes
-    // on by that, and writes it again in its turn. One that does not know it waits: it begins
-    // nothing and writes nothing until `on_record` tells of a record, or of none. A value from
-    // before the order cannot be a record of it, and is written over.
+    // The store's value at `revision` cannot be parsed as a record. If the last record is known,
+    // the rollout continues from it and writes it again after its delay by rank. If it is not
+    // known, the rollout does not start or write anything until `on_record` supplies a record or
+    // none. A value older than the order cannot be its record and is overwritten.
     void on_unreadable_record(store_revision revision, decision::instant now);
 
-    void on_evidence(const std::string& router, const router_evidence& told);
+    void on_evidence(const std::string& router, const router_evidence& evidence);
     void on_own_evidence(const decision::run_counts& seen, const decision::run_counts& speed,
                          bool tripped, const decision::load_counts& under_load = {});
 
-    // The answer to a write that was asked for has come, or none will. Another is made once the
-    // record has changed, or after a while.
+    // The requested write has completed or will get no reply. Another is requested once the record
+    // has changed or after a delay.
     void on_written(decision::instant now);
 
-    // `rank` is this router's place among `size` live ones.
+    // `rank` is this router's index among `size` live ones.
     [[nodiscard]] progress_actions on_tick(std::size_t rank, std::size_t size,
                                            const request_rates& rates, decision::instant now);
 
-    [[nodiscard]] const std::optional<progress_record>& record() const { return this->held; }
+    [[nodiscard]] const std::optional<progress_record>& record() const { return this->stored; }
 
-    // Whether it can neither begin nor go on, for a record that it cannot read.
-    [[nodiscard]] bool waits_for_record() const { return this->unreadable_since && !this->held; }
+    // Whether the rollout cannot start or continue because its record is unreadable.
+    [[nodiscard]] bool waits_for_record() const { return this->unreadable_since && !this->stored; }
 
     [[nodiscard]] const router_evidence& own_evidence() const { return this->own; }
 
-    // What its decisions go by now, for the log.
+    // The current basis of the rollout's decisions, for the log.
     [[nodiscard]] rollout_observation observation(decision::instant now) const;
 
-    // For the router's configuration.
+    // The rollout as the router's configuration declares it.
     [[nodiscard]] decision::rollout plan(const std::string& name) const;
 
 private:
     [[nodiscard]] bool is_bad() const;
-    [[nodiscard]] bool is_doubtful() const;
+    [[nodiscard]] bool is_inconclusive() const;
     [[nodiscard]] decision::sequential_test
     error_test(double false_alarm = decision::error_guard().false_alarm) const;
     [[nodiscard]] decision::sequential_test load_test() const;
     [[nodiscard]] decision::run_counts
-    in_this_part(decision::run_counts router_evidence::*kind) const;
-    [[nodiscard]] decision::run_counts all_seen_ever() const;
+    in_current_state(decision::run_counts router_evidence::*kind) const;
+    [[nodiscard]] decision::run_counts all_runs() const;
     [[nodiscard]] bool is_slow(const decision::run_counts& speed) const;
     [[nodiscard]] decision::sequential_test speed_test() const;
     [[nodiscard]] bool seems_slow() const;
-    [[nodiscard]] bool is_whole() const;
-    [[nodiscard]] progress_state part_of_course() const;
-    [[nodiscard]] bool has_news() const;
-    [[nodiscard]] bool rate_is_due(std::size_t rank, std::size_t size, decision::instant now) const;
+    [[nodiscard]] bool is_full_traffic() const;
+    [[nodiscard]] progress_state current_state() const;
+    [[nodiscard]] bool has_reportable_changes() const;
+    [[nodiscard]] bool is_rate_report_due(std::size_t rank, std::size_t size,
+                                          decision::instant now) const;
     [[nodiscard]] double fleet_rate(std::size_t size) const;
     [[nodiscard]] bool can_fill(std::size_t size) const;
     [[nodiscard]] decision::duration load_time(std::size_t size) const;
@@ -274,10 +285,10 @@
     [[nodiscard]] bool trial_is_over(std::size_t size, decision::instant now) const;
     [[nodiscard]] decision::load_counts all_under_load() const;
     [[nodiscard]] std::uint64_t loaded_runs(const decision::load_counts& seen) const;
-    [[nodiscard]] bool has_shown_load(std::uint64_t runs) const;
-    [[nodiscard]] double load_ratio(std::uint64_t least_failures = 0) const;
-    [[nodiscard]] bool is_doubtful_under_load() const;
-    [[nodiscard]] bool has_loaded_news() const;
+    [[nodiscard]] bool has_loaded_runs(std::uint64_t runs) const;
+    [[nodiscard]] double load_ratio(std::uint64_t min_failures = 0) const;
+    [[nodiscard]] bool is_inconclusive_under_load() const;
+    [[nodiscard]] bool has_trial_changes() const;
     [[nodiscard]] bool rate_has_fallen() const;
     [[nodiscard]] progress_record first_record(std::size_t size) const;
     [[nodiscard]] std::uint32_t sample_ppm(std::size_t size, double request_rate) const;
@@ -285,37 +296,37 @@
     state_after_staged(std::size_t size, decision::duration elapsed) const;
     [[nodiscard]] std::optional<progress_record>
     next_record(std::size_t size, const request_rates& rates, decision::instant now) const;
-    [[nodiscard]] std::optional<progress_record> mended_record(decision::instant now) const;
-    [[nodiscard]] bool has_late_turn(const std::optional<progress_record>& next, std::size_t rank,
-                                     decision::instant now);
-    void ask_for_write(const std::optional<progress_record>& record, decision::instant now,
+    [[nodiscard]] std::optional<progress_record> restored_record(decision::instant now) const;
+    [[nodiscard]] bool is_late_delay_over(const std::optional<progress_record>& next,
+                                          std::size_t rank, decision::instant now);
+    void request_write(const std::optional<progress_record>& record, decision::instant now,
                        progress_actions& wanted);
     [[nodiscard]] std::optional<progress_state> next_state(std::size_t size,
                                                            decision::instant now) const;
     [[nodiscard]] std::optional<progress_state> state_after_trial(std::size_t size,
                                                                   decision::instant now) const;
-    [[nodiscard]] std::optional<progress_state> state_after_whole(decision::duration in_step,
-                                                                  decision::duration elapsed) const;
-    [[nodiscard]] decision::duration part(double share) const;
+    [[nodiscard]] std::optional<progress_state>
+    state_after_full_traffic(decision::duration in_step, decision::duration elapsed) const;
+    [[nodiscard]] decision::duration order_fraction(double fraction) const;
 
     rollout_progress_settings settings;
-    model_rollout_order what;
+    model_rollout_order ordered;
     decision::instant began;
-    std::optional<progress_record> held;
-    store_revision held_revision = 0;
-    std::optional<decision::instant> unreadable_since; // while the store's value is no record
+    std::optional<progress_record> stored;
+    store_revision stored_revision = 0;
+    std::optional<decision::instant> unreadable_since; // while the store's value is unreadable
     decision::instant step_began;
     std::map<std::string, router_evidence> others; // by router
-    decision::load_counts others_under_load{};     // of all of them
+    decision::load_counts others_under_load{};     // sum over `others`
     router_evidence own;
-    bool own_tripped = false;
-    bool told_trip = false;
+    bool is_tripped = false;
+    bool trip_requested = false;
     router_evidence reported;
-    bool told_rate = false;
+    bool rate_reported = false;
     decision::instant next_report;
     bool writing = false;
     decision::instant retry_at;
-    std::optional<progress_record> due_step; // that it would write
+    std::optional<progress_record> due_record; // the record that this router would write
     decision::instant due_since;
 };
 
--- a/coordination/src/bill_ledger.cpp
+++ b/coordination/src/bill_ledger.cpp
@@ -21,11 +21,11 @@
     : settings(std::move(chosen)), codec(page_codec), retry_delay(this->settings.first_retry)
 {}
 
-void bill_ledger::on_bill(bill due, decision::instant now)
+void bill_ledger::on_bill(bill added, decision::instant now)
 {
-    this->unsafe.insert(due.request);
-    this->uncopied.push_back(due);
-    this->pending.push_back(std::move(due));
+    this->unsafe.insert(added.request);
+    this->uncopied.push_back(added);
+    this->pending.push_back(std::move(added));
     this->commit_when_due(now);
 }
 
@@ -33,8 +33,8 @@
 {
     this->commit_when_due(now);
     this->copy_when_due(now);
-    this->rescue_of_missing_owners(now);
-    this->rescue_when_due(now);
+    this->recover_missing_owners(now);
+    this->recover_when_due(now);
 }
 
 void bill_ledger::set_peers(std::vector<member> live)
@@ -47,7 +47,7 @@
 
 std::size_t bill_ledger::waiting() const
 {
-    return this->pending.size() + this->rescues.size();
+    return this->pending.size() + this->recoveries.size();
 }
 
 std::vector<bill_ledger::action> bill_ledger::take_actions()
@@ -70,12 +70,12 @@
 
 void bill_ledger::write_page(decision::instant now)
 {
-    if (this->landed.size() >= this->settings.page_bills) {
+    if (this->committed.size() >= this->settings.page_bills) {
         ++this->page;
-        this->landed.clear();
+        this->committed.clear();
         this->page_revision = 0;
     }
-    auto contents = this->landed;
+    auto contents = this->committed;
     // Pages are small, since each write sends the whole page again; a write is not, since the bills
     // that wait while one is under way would otherwise pile up for as long as the load lasts.
     const auto room = this->settings.write_bills - contents.size();
@@ -96,33 +96,33 @@
 
 void bill_ledger::on_reply(call_tag tag, const kv_reply& reply, decision::instant now)
 {
-    if (this->rescue_tag == tag) {
-        this->rescue_tag.reset();
+    if (this->recovery_tag == tag) {
+        this->recovery_tag.reset();
         // A conflict means that an earlier try of the same write has landed.
         if (reply.outcome == kv_outcome::ok || reply.outcome == kv_outcome::conflict) {
-            this->rescues.pop_front();
+            this->recoveries.pop_front();
         } else {
-            this->next_rescue = now + this->settings.longest_retry;
+            this->next_recovery = now + this->settings.longest_retry;
         }
         return;
     }
     if (!this->write || this->write->tag != tag) {
         return;
     }
-    const auto answered = *std::exchange(this->write, std::nullopt);
+    const auto finished_write = *std::exchange(this->write, std::nullopt);
     switch (reply.outcome) {
     case kv_outcome::ok:
     case kv_outcome::conflict:
         if (!reply.entries.empty()) {
             this->on_page_state(reply.entries.front(), now);
-        } else if (answered.reads || reply.outcome == kv_outcome::conflict) {
+        } else if (finished_write.is_read || reply.outcome == kv_outcome::conflict) {
             this->ambiguous = false; // the page is not there: no earlier write has landed
             this->on_write_failed(now);
         } else {
             // Bills that came after the write began are not on the page, and must not be called
             // safe.
             this->page_revision = reply.revision;
-            this->on_landed(answered.contents);
+            this->on_committed(finished_write.contents);
         }
         break;
     case kv_outcome::not_found:
@@ -151,16 +151,16 @@
         // Not to be mended: the bills go to a new page.
         this->actions.emplace_back(unreadable_value{entry.key});
         ++this->page;
-        this->landed.clear();
+        this->committed.clear();
         this->page_revision = 0;
         this->on_write_failed(now);
         return;
     }
     this->page_revision = entry.revision;
-    this->on_landed(*on_page);
+    this->on_committed(*on_page);
 }
 
-void bill_ledger::on_landed(const std::vector<bill>& on_page)
+void bill_ledger::on_committed(const std::vector<bill>& on_page)
 {
     this->failing_since.reset();
     this->retry_delay = this->settings.first_retry;
@@ -168,10 +168,12 @@
     for (const auto& one : on_page) {
         requests.insert(one.request);
     }
-    const auto is_landed = [&requests](const bill& one) { return requests.count(one.request) > 0; };
-    this->pending.erase(std::remove_if(this->pending.begin(), this->pending.end(), is_landed),
+    const auto is_committed = [&requests](const bill& one) {
+        return requests.count(one.request) > 0;
+    };
+    this->pending.erase(std::remove_if(this->pending.begin(), this->pending.end(), is_committed),
                         this->pending.end());
-    this->landed = on_page;
+    this->committed = on_page;
     const auto needs_no_copy = [this](const bill& one) {
         return this->unsafe.count(one.request) == 0;
     };
@@ -182,7 +184,7 @@
     while (!this->uncopied.empty() && needs_no_copy(this->uncopied.front())) {
         this->uncopied.pop_front();
     }
-    this->drop_landed_batches();
+    this->drop_committed_batches();
 }
 
 void bill_ledger::on_write_failed(decision::instant now)
@@ -201,15 +203,15 @@
     }
 }
 
-bool bill_ledger::store_is_late(decision::instant now) const
+bool bill_ledger::is_store_slow(decision::instant now) const
 {
     return this->failing_since.has_value() ||
-           (this->write && now - this->write->start >= this->settings.store_patience);
+           (this->write && now - this->write->start >= this->settings.store_timeout);
 }
 
 void bill_ledger::copy_when_due(decision::instant now)
 {
-    if (!this->store_is_late(now) || this->peers.empty()) {
+    if (!this->is_store_slow(now) || this->peers.empty()) {
         return;
     }
     this->make_batches(now);
@@ -294,16 +296,16 @@
 }
 
 // Drops are by number up to which everything has landed, so a batch waits for those before it.
-void bill_ledger::drop_landed_batches()
+void bill_ledger::drop_committed_batches()
 {
     std::optional<std::uint64_t> done;
     std::set<incarnation_id> holders;
     while (!this->batches.empty()) {
         const auto& [number, batch] = *this->batches.begin();
-        const auto waits =
+        const auto has_pending =
             std::any_of(batch.requests.begin(), batch.requests.end(),
                         [this](const auto& request) { return this->copied.count(request) > 0; });
-        if (waits) {
+        if (has_pending) {
             break;
         }
         done = number;
@@ -371,45 +373,45 @@
         // The holder's name in the key keeps two holders from overwriting each other.
         auto key = std::string(bill_page_prefix) + owner + "/copy-" + this->settings.self + "-" +
                    std::to_string(number);
-        this->rescues.push_back({std::move(key), this->codec.write_bills(bills)});
+        this->recoveries.push_back({std::move(key), this->codec.write_bills(bills)});
         this->held_count -= bills.size();
     }
     this->held.erase(found);
-    this->rescue_when_due(now);
+    this->recover_when_due(now);
 }
 
-void bill_ledger::rescue_of_missing_owners(decision::instant now)
+void bill_ledger::recover_missing_owners(decision::instant now)
 {
     std::set<incarnation_id> live;
     for (const auto& peer : this->peers) {
         live.insert(peer.id);
     }
-    std::vector<incarnation_id> gone;
+    std::vector<incarnation_id> expired;
     for (const auto& [owner, pages] : this->held) {
         if (live.count(owner) > 0) {
-            this->missing.erase(owner);
+            this->missing_since.erase(owner);
             continue;
         }
-        const auto since = this->missing.emplace(owner, now).first->second;
-        if (now - since >= this->settings.owner_patience) {
-            gone.push_back(owner);
+        const auto since = this->missing_since.emplace(owner, now).first->second;
+        if (now - since >= this->settings.owner_timeout) {
+            expired.push_back(owner);
         }
     }
-    for (const auto& owner : gone) {
-        this->missing.erase(owner);
+    for (const auto& owner : expired) {
+        this->missing_since.erase(owner);
         this->on_member_dead(owner, now);
     }
 }
 
-void bill_ledger::rescue_when_due(decision::instant now)
+void bill_ledger::recover_when_due(decision::instant now)
 {
-    if (this->rescues.empty() || this->rescue_tag || now < this->next_rescue) {
+    if (this->recoveries.empty() || this->recovery_tag || now < this->next_recovery) {
         return;
     }
-    this->rescue_tag = this->next_tag++;
-    const auto& next = this->rescues.front();
+    this->recovery_tag = this->next_tag++;
+    const auto& next = this->recoveries.front();
     this->actions.emplace_back(
-        store_call{*this->rescue_tag, kv_compare_and_swap{next.key, next.value, 0, 0}});
+        store_call{*this->recovery_tag, kv_compare_and_swap{next.key, next.value, 0, 0}});
 }
 
 } // namespace pearhaven::coordination
--- a/coordination/src/lease_holder.cpp
+++ b/coordination/src/lease_holder.cpp
@@ -42,7 +42,7 @@
     } else if (this->step == phase::checking) {
         this->call(phase::checking, kv_get{this->key}, now);
     } else if (this->is_candidate) {
-        this->call(phase::looking, kv_get{this->key}, now);
+        this->call(phase::polling, kv_get{this->key}, now);
     }
 }
 
@@ -53,8 +53,8 @@
     }
     this->open_call.reset();
     switch (this->step) {
-    case phase::looking:
-        this->on_looked(reply, now);
+    case phase::polling:
+        this->on_polled(reply, now);
         break;
     case phase::granting:
         this->on_granted(reply, now);
@@ -91,9 +91,9 @@
 }
 
 // Candidates that saw the duty free at the same time try it one after the other.
-duration lease_holder::spread()
+duration lease_holder::jitter()
 {
-    const auto period = static_cast<std::uint64_t>(this->settings.look_period.count());
+    const auto period = static_cast<std::uint64_t>(this->settings.poll_period.count());
     return duration(next_random(this->random) % period);
 }
 
@@ -109,20 +109,20 @@
     return record;
 }
 
-void lease_holder::on_looked(const kv_reply& reply, instant now)
+void lease_holder::on_polled(const kv_reply& reply, instant now)
 {
     if (reply.outcome == kv_outcome::not_found) {
         this->call(phase::granting, kv_grant_lease{this->settings.time_to_live}, now);
         return;
     }
-    this->due = now + this->settings.look_period / 2 + this->spread();
+    this->due = now + this->settings.poll_period / 2 + this->jitter();
 }
 
 void lease_holder::on_granted(const kv_reply& reply, instant now)
 {
     if (reply.outcome != kv_outcome::ok) {
-        this->step = phase::looking;
-        this->due = now + this->settings.retry + this->spread();
+        this->step = phase::polling;
+        this->due = now + this->settings.retry + this->jitter();
         return;
     }
     this->lease = reply.lease;
@@ -206,8 +206,8 @@
     }
     this->lease = 0;
     this->open_call.reset();
-    this->step = phase::looking;
-    this->due = now + this->settings.look_period / 2 + this->spread();
+    this->step = phase::polling;
+    this->due = now + this->settings.poll_period / 2 + this->jitter();
 }
 
 } // namespace pearhaven::coordination
--- a/coordination/src/once_claims.cpp
+++ b/coordination/src/once_claims.cpp
@@ -9,7 +9,7 @@
 
 // Holders that are missed are few; beyond this the oldest is forgotten and its patience starts
 // anew.
-constexpr std::size_t max_unseen = 1024;
+constexpr std::size_t max_missing_holders = 1024;
 
 } // namespace
 
@@ -28,7 +28,7 @@
     claim_work work;
     work.key = std::string(claim_prefix) + team + "/" + key;
     work.record = {claim_state::held, this->settings.self, std::move(write_id), ""};
-    work.began = now;
+    work.start_time = now;
     work.next_call = now;
     work.retry_delay = this->settings.first_retry;
     auto& placed = this->claims.emplace(number, std::move(work)).first->second;
@@ -56,7 +56,7 @@
 {
     this->live = std::move(now_live);
     for (const auto& holder : this->live) {
-        this->unseen.erase(holder);
+        this->missing_since.erase(holder);
     }
 }
 
@@ -69,7 +69,7 @@
 {
     std::vector<claim_number> finished;
     for (auto& [number, work] : this->claims) {
-        const bool is_late = work.call && now - work.call_start >= this->settings.store_patience;
+        const bool is_late = work.call && now - work.call_start >= this->settings.store_timeout;
         if (is_late) {
             this->calls.erase(*work.call);
             this->on_lost_reply(work, now);
@@ -78,9 +78,9 @@
             finished.push_back(number);
             continue;
         }
-        const bool is_forgotten =
-            work.step == phase::abandoned && now - work.began >= this->settings.abandoned_memory;
-        if (is_forgotten) {
+        const bool is_expired = work.step == phase::abandoned &&
+                                now - work.start_time >= this->settings.abandoned_retention;
+        if (is_expired) {
             finished.push_back(number);
             continue;
         }
@@ -94,7 +94,7 @@
 // True when the claim needs no more work.
 bool once_claims::give_up_creating(claim_number number, claim_work& work, decision::instant now)
 {
-    if (now - work.began < this->settings.claim_patience) {
+    if (now - work.start_time < this->settings.claim_timeout) {
         return false;
     }
     this->decide(number, claim_verdict::unavailable, "");
@@ -102,7 +102,7 @@
         this->calls.erase(*work.call);
         this->on_lost_reply(work, now);
     }
-    if (!work.loose_write) {
+    if (!work.unresolved_write) {
         return true;
     }
     // The caller is told that the request was not run, but our write may still land, and would
@@ -134,19 +134,19 @@
 
 void once_claims::on_lost_reply(claim_work& work, decision::instant now)
 {
-    work.loose_write = true;
+    work.unresolved_write = true;
     work.call.reset();
     this->wait(work, now);
 }
 
 void once_claims::on_reply(call_tag tag, const kv_reply& reply, decision::instant now)
 {
-    const auto asked = this->calls.find(tag);
-    if (asked == this->calls.end()) {
+    const auto pending_call = this->calls.find(tag);
+    if (pending_call == this->calls.end()) {
         return;
     }
-    const auto number = asked->second;
-    this->calls.erase(asked);
+    const auto number = pending_call->second;
+    this->calls.erase(pending_call);
     const auto found = this->claims.find(number);
     if (found == this->claims.end()) {
         return;
@@ -178,7 +178,7 @@
 // and told when to come back; only an earlier write without a reply has to be settled first.
 bool once_claims::on_unavailable(claim_number number, claim_work& work, decision::instant now)
 {
-    if (work.step == phase::creating && !work.loose_write) {
+    if (work.step == phase::creating && !work.unresolved_write) {
         this->decide(number, claim_verdict::unavailable, "");
         return true;
     }
@@ -221,8 +221,8 @@
         return this->on_others_claim(number, work, entry, *found, now);
     }
     work.revision = entry.revision;
-    const bool stands = found->state == work.record.state;
-    if (stands) {
+    const bool is_written = found->state == work.record.state;
+    if (is_written) {
         return this->on_written(number, work, entry.revision);
     }
     // Ours, in an earlier state, or closed as unknown by a router that missed us: our end replaces
@@ -253,8 +253,8 @@
     case claim_state::held:
         break;
     }
-    if (this->is_gone(found.holder, now)) {
-        this->close_for_gone_holder(entry, found);
+    if (this->is_presumed_dead(found.holder, now)) {
+        this->close_for_dead_holder(entry, found);
         this->decide(number, claim_verdict::unknown, "");
         return true;
     }
@@ -262,7 +262,7 @@
     return true;
 }
 
-void once_claims::close_for_gone_holder(const kv_entry& entry, claim_record found)
+void once_claims::close_for_dead_holder(const kv_entry& entry, claim_record found)
 {
     found.state = claim_state::unknown;
     // Nobody waits for the reply: if the write fails, the next resend makes it again.
@@ -272,15 +272,16 @@
 }
 
 // A wrong answer does no harm beyond a caller that is told `unknown` too early.
-bool once_claims::is_gone(const incarnation_id& holder, decision::instant now)
+bool once_claims::is_presumed_dead(const incarnation_id& holder, decision::instant now)
 {
     if (holder == this->settings.self || this->live.count(holder) > 0) {
         return false;
     }
-    if (this->unseen.size() >= max_unseen && this->unseen.count(holder) == 0) {
-        this->unseen.erase(this->unseen.begin());
+    if (this->missing_since.size() >= max_missing_holders &&
+        this->missing_since.count(holder) == 0) {
+        this->missing_since.erase(this->missing_since.begin());
     }
-    const auto since = this->unseen.emplace(holder, now).first->second;
+    const auto since = this->missing_since.emplace(holder, now).first->second;
     return now - since >= this->settings.holder_timeout;
 }
 
--- a/coordination/test/bill_ledger_test.cpp
+++ b/coordination/test/bill_ledger_test.cpp
@@ -106,35 +106,35 @@
         settings.page_bills = 4;
     }
 
-    void pass(bill_ledger & ledger, duration time)
+    void advance(bill_ledger & ledger, duration time)
     {
         now += time;
         ledger.on_tick(now);
     }
 };
 
-TEST(bill_ledger_test, a_bill_is_safe_once_its_page_has_landed)
+TEST(bill_ledger_test, bill_is_safe_once_its_page_is_committed)
 {
     bill_ledger ledger(settings, codec);
     ledger.on_bill(name_codec::make("a"), now);
-    const auto begun = take(ledger);
-    LONGS_EQUAL(1, begun.calls.size());
-    LONGS_EQUAL(0, begun.safe.size());
-    ledger.on_reply(begun.calls[0].tag, store.apply(begun.calls[0].request), now);
+    const auto first_actions = take(ledger);
+    LONGS_EQUAL(1, first_actions.calls.size());
+    LONGS_EQUAL(0, first_actions.safe.size());
+    ledger.on_reply(first_actions.calls[0].tag, store.apply(first_actions.calls[0].request), now);
     CHECK_TRUE(take(ledger).safe == std::vector<std::string>{"a"});
     LONGS_EQUAL(0, ledger.waiting());
 }
 
 // Bills come faster than writes of four of them land. All that wait go out with the next write;
 // otherwise each answer's end would come later than the one before.
-TEST(bill_ledger_test, all_that_waits_goes_out_with_one_write)
+TEST(bill_ledger_test, all_pending_bills_go_into_one_write)
 {
     bill_ledger ledger(settings, codec);
     for (int i = 0; i < 40; ++i) {
         ledger.on_bill(name_codec::make(std::to_string(i)), now);
     }
     for (int write = 0; write < 2; ++write) {
-        pass(ledger, seconds(1));
+        advance(ledger, seconds(1));
         for (const auto& call : take(ledger).calls) {
             ledger.on_reply(call.tag, store.apply(call.request), now);
         }
@@ -146,7 +146,7 @@
 // The caller of `b` would get its answer's end while `b` stands on no page: `b` comes while the
 // write of `a` is under way, and the reply to that write speaks of `a` alone. A kill now loses b's
 // bill.
-TEST(bill_ledger_test, a_bill_that_came_during_a_write_is_not_safe_by_that_write)
+TEST(bill_ledger_test, bill_added_during_a_write_is_not_made_safe_by_that_write)
 {
     bill_ledger ledger(settings, codec);
     ledger.on_bill(name_codec::make("a"), now);
@@ -159,30 +159,30 @@
 
 // The caller waits for its end while the reply to the write is lost. The write did land: writing
 // the page once more against the old revision would fail for good, so the page is read instead.
-TEST(bill_ledger_test, a_write_whose_reply_was_lost_is_settled_by_reading_the_page)
+TEST(bill_ledger_test, write_with_a_lost_reply_is_resolved_by_reading_the_page)
 {
     bill_ledger ledger(settings, codec);
     ledger.on_bill(name_codec::make("a"), now);
-    const auto begun = take(ledger);
-    store.apply(begun.calls[0].request);
-    ledger.on_reply(begun.calls[0].tag, {kv_outcome::unknown, 0, 0, {}}, now);
-    pass(ledger, std::chrono::seconds(1));
-    const auto asked = take(ledger);
-    CHECK_TRUE(std::holds_alternative<kv_get>(asked.calls.at(0).request));
-    ledger.on_reply(asked.calls[0].tag, store.apply(asked.calls[0].request), now);
+    const auto first_actions = take(ledger);
+    store.apply(first_actions.calls[0].request);
+    ledger.on_reply(first_actions.calls[0].tag, {kv_outcome::unknown, 0, 0, {}}, now);
+    advance(ledger, std::chrono::seconds(1));
+    const auto retry_actions = take(ledger);
+    CHECK_TRUE(std::holds_alternative<kv_get>(retry_actions.calls.at(0).request));
+    ledger.on_reply(retry_actions.calls[0].tag, store.apply(retry_actions.calls[0].request), now);
     CHECK_TRUE(take(ledger).safe == std::vector<std::string>{"a"});
 }
 
 // The store is out for minutes. Callers still get their answers' ends, since two routers in other
 // zones hold the bill; nobody's answer hangs on the store.
-TEST(bill_ledger_test, during_an_outage_a_bill_is_safe_with_two_peers)
+TEST(bill_ledger_test, bill_is_safe_with_two_peers_during_a_store_outage)
 {
     bill_ledger ledger(settings, codec);
     ledger.set_peers({peer("near", "osu"), peer("p1", "tema"), peer("p2", "legon")});
     ledger.on_bill(name_codec::make("a"), now);
-    const auto begun = take(ledger);
-    ledger.on_reply(begun.calls[0].tag, {kv_outcome::unavailable, 0, 0, {}}, now);
-    pass(ledger, milliseconds(20));
+    const auto first_actions = take(ledger);
+    ledger.on_reply(first_actions.calls[0].tag, {kv_outcome::unavailable, 0, 0, {}}, now);
+    advance(ledger, milliseconds(20));
     const auto copies = take(ledger).messages;
     LONGS_EQUAL(2, copies.size());
     CHECK_TRUE(copies[0].to.id == "p1" && copies[1].to.id == "p2");
@@ -195,7 +195,7 @@
 
 // A router is killed during an outage, after its caller had the answer's end. Both holders write
 // the copy once the store is back: the request stands on two pages and is still billed once.
-TEST(bill_ledger_test, copies_of_a_dead_owner_are_written_by_each_holder_and_count_once)
+TEST(bill_ledger_test, copies_of_a_dead_owner_are_written_by_each_holder_and_counted_once)
 {
     for (const std::string holder : {"p1", "p2"}) {
         bill_ledger_settings own = settings;
@@ -213,19 +213,19 @@
 
 // The word of the owner's death comes before its last copy, which was slow on its way. Nobody will
 // tell of that death again, and the copy would lie in the holder's memory until that is replaced.
-TEST(bill_ledger_test, a_copy_that_comes_after_its_owners_death_is_written_too)
+TEST(bill_ledger_test, copy_received_after_its_owners_death_is_written)
 {
     bill_ledger holder(settings, codec);
     holder.set_peers({peer("other", "osu")});
     holder.on_member_dead("owner", now);
     holder.on_message({"owner", "", 0}, bill_copy{"owner", 1, {name_codec::make("a")}}, now);
-    pass(holder, seconds(1));
+    advance(holder, seconds(1));
     LONGS_EQUAL(0, take(holder).calls.size());
-    pass(holder, seconds(31));
+    advance(holder, seconds(31));
     LONGS_EQUAL(1, take(holder).calls.size());
 }
 
-TEST(bill_ledger_test, a_landed_batch_is_dropped_by_its_holders)
+TEST(bill_ledger_test, committed_batch_is_dropped_by_its_holders)
 {
     bill_ledger holder(settings, codec);
     holder.on_message({"owner", "", 0}, bill_copy{"owner", 1, {name_codec::make("a")}}, now);
@@ -236,12 +236,12 @@
 
 // Writes fail, land unseen, or are answered, in any order. Whatever was called safe stands in the
 // store or with the peers, and once the store answers again every bill stands there.
-TEST(bill_ledger_test, no_schedule_of_failing_writes_loses_or_repeats_a_bill)
+TEST(bill_ledger_test, no_sequence_of_failed_writes_loses_or_repeats_a_bill)
 {
     const bool holds = rc::check("bills land once", [this] {
         bill_ledger ledger(settings, codec);
         simulation::scheduler virtual_time{1};
-        simulation::model_store paper{virtual_time};
+        simulation::model_store backing_store{virtual_time};
         instant clock{};
         std::size_t count = 0;
         const auto steps = *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 5));
@@ -250,7 +250,7 @@
                 ledger.on_reply(call.tag, {kv_outcome::unavailable, 0, 0, {}}, clock);
                 return;
             }
-            const auto reply = paper.apply(call.request);
+            const auto reply = backing_store.apply(call.request);
             ledger.on_reply(call.tag, how == 1 ? kv_reply{kv_outcome::unknown, 0, 0, {}} : reply,
                             clock);
         };
@@ -262,7 +262,7 @@
             ledger.on_tick(clock);
             const auto split = take(ledger);
             for (const auto& request : split.safe) {
-                RC_ASSERT(folded(paper).count(request) == 1);
+                RC_ASSERT(folded(backing_store).count(request) == 1);
             }
             for (const auto& call : split.calls) {
                 answer(call, step);
@@ -276,7 +276,7 @@
             }
         }
         RC_ASSERT(ledger.waiting() == 0);
-        RC_ASSERT(folded(paper).size() == count);
+        RC_ASSERT(folded(backing_store).size() == count);
     });
     CHECK_TRUE(holds);
 }
--- a/coordination/test/lease_holder_test.cpp
+++ b/coordination/test/lease_holder_test.cpp
@@ -28,8 +28,8 @@
 };
 
 // Candidates for one duty.
-struct duty_bench : fleet<lease_holder> {
-    duty_bench(std::uint64_t seed, std::size_t size) : fleet(seed, size), last_order(size)
+struct duty_fleet : fleet<lease_holder> {
+    duty_fleet(std::uint64_t seed, std::size_t size) : fleet(seed, size), last_order(size)
     {
         this->start_all();
     }
@@ -45,9 +45,9 @@
     void on_action(std::size_t /*node*/, const lease_holder::action& action) override
     {
         if (const auto* taken = std::get_if<duty_taken>(&action)) {
-            this->faults += taken->number <= this->highest_number ? 1 : 0;
+            this->violations += taken->number <= this->highest_number ? 1 : 0;
             this->highest_number = taken->number;
-            ++this->takes;
+            ++this->acquisitions;
         }
     }
 
@@ -60,13 +60,13 @@
             return;
         }
         this->last_order[node] = now;
-        const duration quiet = this->nodes[node]->may_order_unchecked(now)
-                                   ? lease_holder_settings{}.longest_order
-                                   : duration{};
+        const duration min_idle = this->nodes[node]->may_order_unchecked(now)
+                                      ? lease_holder_settings{}.longest_order
+                                      : duration{};
         for (std::size_t other = 0; other < this->nodes.size(); ++other) {
-            const bool clash = other != node && (this->nodes[other]->may_order(now) ||
-                                                 now - this->last_order[other] < quiet);
-            this->faults += clash ? 1 : 0;
+            const bool conflict = other != node && (this->nodes[other]->may_order(now) ||
+                                                    now - this->last_order[other] < min_idle);
+            this->violations += conflict ? 1 : 0;
         }
     }
 
@@ -82,8 +82,8 @@
     table_duty_codec codec;
     std::vector<instant> last_order;
     fencing_number highest_number = 0;
-    int takes = 0;
-    int faults = 0;
+    int acquisitions = 0;
+    int violations = 0;
 };
 
 } // namespace
@@ -92,32 +92,32 @@
 
 TEST(lease_holder_test, one_candidate_takes_the_duty_and_keeps_it)
 {
-    duty_bench bench(1, 3);
-    bench.clock.run_for(seconds{120});
-    CHECK_COMPARE(bench.holder(), <, 3U);
-    CHECK_EQUAL(1, bench.takes);
-    CHECK_EQUAL(0, bench.faults);
+    duty_fleet candidates(1, 3);
+    candidates.clock.run_for(seconds{120});
+    CHECK_COMPARE(candidates.holder(), <, 3U);
+    CHECK_EQUAL(1, candidates.acquisitions);
+    CHECK_EQUAL(0, candidates.violations);
 }
 
 // The holder is stopped for longer than its lease, another takes over, and the first goes on where
 // it stood. It must see by its clock that its time is over before it does anything.
-TEST(lease_holder_test, a_holder_paused_past_its_lease_may_not_order_when_it_wakes)
+TEST(lease_holder_test, holder_paused_past_its_lease_may_not_order_when_it_resumes)
 {
-    duty_bench bench(2, 3);
-    bench.clock.run_for(seconds{20});
-    const std::size_t first = bench.holder();
-    bench.paused[first] = true;
-    bench.clock.run_for(seconds{20});
-    CHECK_FALSE(bench.nodes[first]->may_order(bench.clock.now()));
-    CHECK_COMPARE(bench.holder(), <, 3U);
-    bench.paused[first] = false;
-    bench.clock.run_for(seconds{20});
-    CHECK_EQUAL(2, bench.takes);
-    CHECK_EQUAL(0, bench.faults);
+    duty_fleet candidates(2, 3);
+    candidates.clock.run_for(seconds{20});
+    const std::size_t first = candidates.holder();
+    candidates.paused[first] = true;
+    candidates.clock.run_for(seconds{20});
+    CHECK_FALSE(candidates.nodes[first]->may_order(candidates.clock.now()));
+    CHECK_COMPARE(candidates.holder(), <, 3U);
+    candidates.paused[first] = false;
+    candidates.clock.run_for(seconds{20});
+    CHECK_EQUAL(2, candidates.acquisitions);
+    CHECK_EQUAL(0, candidates.violations);
 }
 
 // The reply to the grant was on its way for five seconds, and the store counts from its sending.
-TEST(lease_holder_test, the_lease_counts_from_the_start_of_its_grant)
+TEST(lease_holder_test, lease_time_counts_from_the_start_of_the_grant_request)
 {
     table_duty_codec codec;
     const instant start{seconds{100}};
@@ -134,47 +134,47 @@
 
 // The old holder's last order may reach an endpoint that takes any number long after the new holder
 // has begun, and undo what that one ordered.
-TEST(lease_holder_test, a_new_holder_waits_before_it_orders_endpoints_that_check_no_number)
+TEST(lease_holder_test, new_holder_waits_before_ordering_endpoints_that_do_not_check_fencing)
 {
-    duty_bench bench(3, 1);
-    bench.clock.run_for(seconds{5});
-    CHECK_TRUE(bench.nodes[0]->may_order(bench.clock.now()));
-    CHECK_FALSE(bench.nodes[0]->may_order_unchecked(bench.clock.now()));
-    bench.clock.run_for(seconds{20});
-    CHECK_TRUE(bench.nodes[0]->may_order_unchecked(bench.clock.now()));
+    duty_fleet candidates(3, 1);
+    candidates.clock.run_for(seconds{5});
+    CHECK_TRUE(candidates.nodes[0]->may_order(candidates.clock.now()));
+    CHECK_FALSE(candidates.nodes[0]->may_order_unchecked(candidates.clock.now()));
+    candidates.clock.run_for(seconds{20});
+    CHECK_TRUE(candidates.nodes[0]->may_order_unchecked(candidates.clock.now()));
 }
 
-TEST(lease_holder_test, a_released_duty_is_free_at_once_for_others)
+TEST(lease_holder_test, released_duty_is_available_to_others_at_once)
 {
-    duty_bench bench(4, 2);
-    bench.clock.run_for(seconds{20});
-    const std::size_t first = bench.holder();
-    bench.nodes[first]->release();
-    bench.carry_out(first);
-    CHECK_EQUAL(0U, bench.nodes[first]->number());
-    bench.clock.run_for(seconds{4});
-    CHECK_EQUAL(1 - first, bench.holder());
+    duty_fleet candidates(4, 2);
+    candidates.clock.run_for(seconds{20});
+    const std::size_t first = candidates.holder();
+    candidates.nodes[first]->release();
+    candidates.carry_out(first);
+    CHECK_EQUAL(0U, candidates.nodes[first]->number());
+    candidates.clock.run_for(seconds{4});
+    CHECK_EQUAL(1 - first, candidates.holder());
 }
 
 // Random pauses, outages and lost replies. Never two at a time, the numbers rise, and when the
 // faults end one candidate holds the duty.
-TEST(lease_holder_test, no_schedule_of_faults_gives_the_duty_to_two_routers)
+TEST(lease_holder_test, no_sequence_of_faults_gives_the_duty_to_two_routers)
 {
     const bool held = holds_for_seeds("duties", [](std::uint64_t seed) {
-        duty_bench bench(seed, 3);
-        bench.store.lost_percent = 20;
-        bench.store.longest_delay = milliseconds{3000};
+        duty_fleet candidates(seed, 3);
+        candidates.store.lost_percent = 20;
+        candidates.store.longest_delay = milliseconds{3000};
         for (int step = 0; step < 30; ++step) {
-            const std::size_t node = bench.clock.below(3);
-            bench.paused[node] = !bench.paused[node];
-            bench.store.down = bench.clock.chance(20);
-            bench.clock.run_for(bench.clock.delay(seconds{15}));
+            const std::size_t node = candidates.clock.below(3);
+            candidates.paused[node] = !candidates.paused[node];
+            candidates.store.down = candidates.clock.chance(20);
+            candidates.clock.run_for(candidates.clock.delay(seconds{15}));
         }
-        bench.end_faults();
-        bench.clock.run_for(seconds{40});
-        RC_ASSERT(bench.faults == 0);
-        RC_ASSERT(bench.takes > 0);
-        RC_ASSERT(bench.holder() < 3U);
+        candidates.end_faults();
+        candidates.clock.run_for(seconds{40});
+        RC_ASSERT(candidates.violations == 0);
+        RC_ASSERT(candidates.acquisitions > 0);
+        RC_ASSERT(candidates.holder() < 3U);
     });
     CHECK_TRUE(held);
 }
--- a/coordination/test/once_claims_test.cpp
+++ b/coordination/test/once_claims_test.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 // state|holder|write id|outcome
-class bar_codec : public claim_codec {
+class pipe_codec : public claim_codec {
 public:
     [[nodiscard]] std::string write_claim(const claim_record& claim) const override
     {
@@ -31,11 +31,11 @@
     [[nodiscard]] std::optional<claim_record> read_claim(std::string_view text) const override
     {
         std::vector<std::string> parts(1);
-        for (const char letter : text) {
-            if (letter == '|') {
+        for (const char character : text) {
+            if (character == '|') {
                 parts.emplace_back();
             } else {
-                parts.back().push_back(letter);
+                parts.back().push_back(character);
             }
         }
         if (parts.size() != 4) {
@@ -46,7 +46,7 @@
     }
 };
 
-const bar_codec codec;
+const pipe_codec codec;
 
 once_claims_settings settings_of(const std::string& self)
 {
@@ -55,7 +55,7 @@
     return chosen;
 }
 
-const kv_reply lost = {kv_outcome::unknown, 0, 0, {}};
+const kv_reply lost_reply = {kv_outcome::unknown, 0, 0, {}};
 
 } // namespace
 
@@ -128,7 +128,7 @@
     CHECK_TRUE(decided(second) == claim_verdict::in_progress);
 }
 
-TEST(once_claims_test, a_resend_is_told_the_outcome_of_the_run)
+TEST(once_claims_test, resend_receives_the_outcome_of_the_run)
 {
     const auto claim = first.claim("team", "key", next_id(), now);
     CHECK_TRUE(decided(first) == claim_verdict::granted);
@@ -139,7 +139,7 @@
     CHECK_TRUE(decided(second) == claim_verdict::ran);
 }
 
-TEST(once_claims_test, a_request_that_was_not_run_may_be_claimed_again)
+TEST(once_claims_test, request_that_was_not_run_may_be_claimed_again)
 {
     const auto claim = first.claim("team", "key", next_id(), now);
     CHECK_TRUE(decided(first) == claim_verdict::granted);
@@ -151,18 +151,18 @@
 
 // The write lands, its reply is lost. Taking the silence for a failure would tell the caller `not
 // run` and leave a claim that blocks its next send; trying again blindly would find the key taken.
-TEST(once_claims_test, a_claim_whose_reply_was_lost_is_found_by_its_write_id)
+TEST(once_claims_test, claim_with_a_lost_reply_is_found_by_its_write_id)
 {
     first.claim("team", "key", next_id(), now);
     const auto calls = calls_of(first.take_actions());
     store.apply(calls.at(0).request);
-    first.on_reply(calls[0].tag, lost, now);
+    first.on_reply(calls[0].tag, lost_reply, now);
     CHECK_TRUE(decided(first) == claim_verdict::granted);
 }
 
 // The store is silent, so the caller is refused: not run. Afterwards the write lands after all. The
 // caller sends again to another router, and must not find its request blocked for ever.
-TEST(once_claims_test, a_claim_that_lands_after_its_refusal_is_closed_as_not_run)
+TEST(once_claims_test, claim_committed_after_its_refusal_is_closed_as_not_run)
 {
     first.claim("team", "key", next_id(), now);
     const auto calls = calls_of(first.take_actions());
@@ -177,7 +177,7 @@
 
 // The holder is killed after its claim. Whether it had sent the booking cannot be known: the resend
 // is told so, and nobody runs it again.
-TEST(once_claims_test, the_claim_of_a_gone_holder_is_closed_as_unknown)
+TEST(once_claims_test, claim_of_a_dead_holder_is_closed_as_unknown)
 {
     first.claim("team", "key", next_id(), now);
     CHECK_TRUE(decided(first) == claim_verdict::granted);
@@ -194,7 +194,7 @@
 
 // The store refuses the write, so nothing was claimed and nothing can have run. Waiting for the
 // store would keep the caller from the answer that is already known.
-TEST(once_claims_test, with_the_store_out_the_request_is_refused_at_once)
+TEST(once_claims_test, request_is_refused_at_once_while_the_store_is_unavailable)
 {
     first.claim("team", "key", next_id(), now);
     const auto calls = calls_of(first.take_actions());
@@ -207,7 +207,7 @@
 
 // The store is silent: whether the claim was written is not known, and the caller is not kept
 // longer than the patience.
-TEST(once_claims_test, with_the_store_silent_the_request_is_refused_within_the_patience)
+TEST(once_claims_test, request_is_refused_within_the_claim_timeout_while_the_store_does_not_reply)
 {
     first.claim("team", "key", next_id(), now);
     for (int round = 0; round < 105; ++round) {
@@ -226,11 +226,11 @@
 // Two routers and one key: sends, resends, lost and late replies, calls that land late, routers
 // that miss each other. A dispatch whose router never said `not run` afterwards is the only one for
 // ever.
-TEST(once_claims_test, no_schedule_lets_a_request_run_twice)
+TEST(once_claims_test, no_sequence_of_faults_lets_a_request_run_twice)
 {
     const bool holds = rc::check("at most one run", [] {
         simulation::scheduler virtual_time{1};
-        simulation::model_store paper{virtual_time};
+        simulation::model_store backing_store{virtual_time};
         instant clock{seconds(100)};
         std::vector<std::unique_ptr<once_claims>> routers;
         routers.push_back(std::make_unique<once_claims>(settings_of("r0"), codec));
@@ -259,8 +259,8 @@
             } else if (step < 8 && !late.empty()) {
                 const auto next = late.front();
                 late.erase(late.begin());
-                routers[next.router]->on_reply(next.call.tag, paper.apply(next.call.request),
-                                               clock);
+                routers[next.router]->on_reply(next.call.tag,
+                                               backing_store.apply(next.call.request), clock);
             } else if (step == 8) {
                 routers[0]->set_live({});
                 routers[1]->set_live({"r0"});
@@ -272,10 +272,11 @@
                         if (step < 10) {
                             late.push_back({i, *call});
                         } else if (step < 12) {
-                            paper.apply(call->request);
-                            routers[i]->on_reply(call->tag, lost, clock);
+                            backing_store.apply(call->request);
+                            routers[i]->on_reply(call->tag, lost_reply, clock);
                         } else {
-                            routers[i]->on_reply(call->tag, paper.apply(call->request), clock);
+                            routers[i]->on_reply(call->tag, backing_store.apply(call->request),
+                                                 clock);
                         }
                     } else if (const auto* decision = std::get_if<claim_decided>(&one)) {
                         if (decision->verdict == claim_verdict::granted) {
--- a/coordination/test/session_versions_test.cpp
+++ b/coordination/test/session_versions_test.cpp
@@ -22,43 +22,43 @@
 constexpr auto session_time = milliseconds(8'500);
 constexpr std::size_t router_count = 80;
 
-// A record of the store on its way to one router.
-struct late_record {
+// A stored record in transit to one router.
+struct delayed_record {
     instant due;
     std::size_t router = 0;
     progress_record record;
     store_revision revision = 0;
 };
 
-// The last request of a session that has ended.
-struct last_answer {
+// End of the last request of a session.
+struct session_end {
     instant ended;
-    bool on_new = false;
+    bool on_new_version = false;
 };
 
-// Routers that hear of each step of one roll-out at different moments, and sessions whose requests
-// come in at any of them. Nobody tells anybody of a session.
+// Routers that receive each step of a rollout at different times, and sessions whose requests
+// arrive at any of them. Routers exchange no information about sessions.
 class session_fleet {
 public:
     explicit session_fleet(std::uint64_t seed) : random_state(seed)
     {
         for (std::size_t i = 0; i < router_count; ++i) {
             model_rollout_order order{"model@v1", "model@v2", 28, order_time, 64};
-            this->courses.push_back(std::make_unique<rollout_progress>(rollout_progress_settings{},
-                                                                       order, start + this->lag()));
+            this->progress_by_router.push_back(std::make_unique<rollout_progress>(
+                rollout_progress_settings{}, order, start + this->watch_delay()));
             this->exposures.push_back(std::make_unique<rollout_exposure>());
             this->exposures.back()->on_fleet(i, router_count);
             this->exposures.back()->on_configuration(*configuration_builder().build());
-            this->take(i);
+            this->configure(i);
         }
     }
 
-    void play()
+    void simulate()
     {
         for (auto now = start; now < start + order_time; now += milliseconds(20)) {
             this->deliver(now);
             this->step(now);
-            for (int i = 0; i < 10; ++i) { // 500 requests a second
+            for (int i = 0; i < 10; ++i) { // 500 requests per second
                 this->send(now);
             }
         }
@@ -66,58 +66,59 @@
 
     int moved_in_first_half = 0;
     int changed_in_first_half = 0;
-    int sent_back = 0;
+    int moved_back = 0;
     int moved = 0;
 
 private:
     std::uint64_t next_random() { return mix(this->random_state++); }
 
-    // A watch of the store brings a change up to 600 ms late.
-    duration lag() { return milliseconds(this->next_random() % 600); }
+    // A watch of the store delivers a change up to 600 ms late.
+    duration watch_delay() { return milliseconds(this->next_random() % 600); }
 
     void deliver(instant now)
     {
-        for (auto& on_way : this->underway) {
-            if (on_way.due <= now && on_way.revision != 0) {
-                this->courses[on_way.router]->on_record(on_way.record, on_way.revision, now);
-                this->take(on_way.router);
-                on_way.revision = 0;
+        for (auto& delivery : this->in_flight) {
+            if (delivery.due <= now && delivery.revision != 0) {
+                this->progress_by_router[delivery.router]->on_record(delivery.record,
+                                                                     delivery.revision, now);
+                this->configure(delivery.router);
+                delivery.revision = 0;
             }
         }
-        std::erase_if(this->underway, [](const auto& on_way) { return on_way.revision == 0; });
+        std::erase_if(this->in_flight, [](const auto& delivery) { return delivery.revision == 0; });
     }
 
     void step(instant now)
     {
         for (std::size_t i = 0; i < router_count; ++i) {
             const request_rates rates{0.3, 1.0};
-            auto& course = *this->courses[i];
-            if (course.record() && course.record()->state == progress_state::load_trial) {
-                load_counts enough{};
-                enough.back().good = 30;
-                course.on_own_evidence({}, {}, false, enough);
+            auto& progress = *this->progress_by_router[i];
+            if (progress.record() && progress.record()->state == progress_state::load_trial) {
+                load_counts sufficient{};
+                sufficient.back().good = 30;
+                progress.on_own_evidence({}, {}, false, sufficient);
             }
-            const auto wanted = course.on_tick(i, router_count, rates, now);
+            const auto wanted = progress.on_tick(i, router_count, rates, now);
             if (wanted.write_record && wanted.record_revision == this->revision) {
                 ++this->revision;
                 for (std::size_t to = 0; to < router_count; ++to) {
-                    this->underway.push_back(
-                        {now + this->lag(), to, *wanted.write_record, this->revision});
+                    this->in_flight.push_back(
+                        {now + this->watch_delay(), to, *wanted.write_record, this->revision});
                 }
             }
             if (wanted.write_record) {
-                this->courses[i]->on_written(now);
+                this->progress_by_router[i]->on_written(now);
             }
         }
     }
 
-    void take(std::size_t router)
+    void configure(std::size_t router)
     {
         team anyone;
         anyone.name = "anyone";
         anyone.versions = selector().require("model", {"model"});
         configuration_builder builder;
-        builder.add(anyone).add(this->courses[router]->plan("model"));
+        builder.add(anyone).add(this->progress_by_router[router]->plan("model"));
         for (const char* name : {"model@v1", "model@v2"}) {
             version made;
             made.name = name;
@@ -138,28 +139,28 @@
         question.asked = "model";
         question.session_key = mix(session);
         const auto answer = this->exposures[router]->choose(question, {}).answer;
-        this->note(session, answer.version == "model@v2", now);
+        this->record_answer(session, answer.version == "model@v2", now);
     }
 
-    void note(std::uint64_t session, bool on_new, instant now)
+    void record_answer(std::uint64_t session, bool on_new_version, instant now)
     {
-        auto& before = this->sessions[session];
-        const bool goes_on = before.ended <= now && now - before.ended < session_time;
-        const bool changes = goes_on && before.on_new != on_new;
+        auto& previous = this->sessions[session];
+        const bool continues = previous.ended <= now && now - previous.ended < session_time;
+        const bool switches = continues && previous.on_new_version != on_new_version;
         const bool first_half = now < start + order_time / 2;
-        this->moved += on_new ? 1 : 0;
-        this->moved_in_first_half += first_half && on_new ? 1 : 0;
-        this->changed_in_first_half += first_half && changes ? 1 : 0;
-        this->sent_back += changes && !on_new ? 1 : 0;
-        before = {now + milliseconds(200 + this->next_random() % 1'300), on_new};
+        this->moved += on_new_version ? 1 : 0;
+        this->moved_in_first_half += first_half && on_new_version ? 1 : 0;
+        this->changed_in_first_half += first_half && switches ? 1 : 0;
+        this->moved_back += switches && !on_new_version ? 1 : 0;
+        previous = {now + milliseconds(200 + this->next_random() % 1'300), on_new_version};
     }
 
     std::uint64_t random_state;
-    std::vector<std::unique_ptr<rollout_progress>> courses;
+    std::vector<std::unique_ptr<rollout_progress>> progress_by_router;
     std::vector<std::unique_ptr<rollout_exposure>> exposures;
     std::map<std::size_t, configuration_ptr> configurations;
-    std::vector<late_record> underway;
-    std::map<std::uint64_t, last_answer> sessions;
+    std::vector<delayed_record> in_flight;
+    std::map<std::uint64_t, session_end> sessions;
     store_revision revision = 0;
 };
 
@@ -167,29 +168,28 @@
 
 TEST_GROUP(session_versions){};
 
-// The pattern: a fleet of eighty routers, each with a small part of the traffic, and sessions of
-// several requests that come in at any router. A session asks v1, then v2 a moment later, and its
-// second answer does not follow from its first. It happened as the first record named a share of
-// the sessions to be moved at once, most of them in their midst.
-TEST(session_versions, no_session_changes_its_version_in_the_first_half_of_an_order)
+// Guards against a session that gets answers of v1 and then of v2 within moments. This happened in
+// a fleet of eighty routers, each with a small share of the traffic, when the first record set a
+// share of the sessions to move at once, most of them while active.
+TEST(session_versions, no_session_changes_its_version_in_the_first_half_of_a_rollout)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         session_fleet fleet(seed << 32U);
-        fleet.play();
+        fleet.simulate();
         CHECK_EQUAL(0, fleet.moved_in_first_half);
         CHECK_EQUAL(0, fleet.changed_in_first_half);
         CHECK_TRUE(fleet.moved > 1'000);
     }
 }
 
-// In the second half all sessions move within some seconds. Only where two requests of one session
-// follow each other within the time that a record takes to reach all routers can the second one
-// meet a router that still has all on the old version.
-TEST(session_versions, hardly_a_session_goes_back_while_records_are_on_their_way)
+// In the second half all sessions move within a few seconds. A session can go back only if two of
+// its requests arrive within the time a record takes to reach all routers, and the second one
+// arrives at a router that still uses the old version.
+TEST(session_versions, few_sessions_move_back_while_records_propagate)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         session_fleet fleet(seed << 32U);
-        fleet.play();
-        CHECK_TRUE(fleet.sent_back <= 3);
+        fleet.simulate();
+        CHECK_TRUE(fleet.moved_back <= 3);
     }
 }
--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -19,16 +19,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The pattern: many routers, each with few callers, fill one endpoint together while every one of
-// them hears of a few others only, and late.
+// Guards against overloading the endpoint of a load trial: many routers, each with few callers,
+// fill one endpoint together, while each of them receives the load reports of only a few others,
+// and with a delay.
 
 namespace {
 
 constexpr std::uint32_t slots = 32;
-constexpr std::size_t queue_places = 67; // of an endpoint, beyond its slots
+constexpr std::size_t queue_capacity = 67; // queued requests of an endpoint, beyond its slots
 constexpr std::size_t endpoints_of_a_version = 24;
 constexpr std::size_t zones = 6;
-constexpr auto word_delay = milliseconds(30);
+constexpr auto report_delay = milliseconds(30);
 constexpr auto tick_time = milliseconds(25);
 constexpr auto long_run = milliseconds(4700); // of the largest model
 constexpr auto short_run = milliseconds(600);
@@ -70,34 +71,34 @@
     return hosts;
 }
 
-struct run_at_engine {
+struct engine_run {
     std::size_t router = 0;
-    start_attempt what;
+    start_attempt attempt;
     instant ends;
 };
 
-// Runs as many requests as it has slots, keeps some more waiting, and refuses the rest.
+// Runs as many requests as it has slots, queues a limited number of others and refuses the rest.
 struct model_engine {
-    std::vector<run_at_engine> running;
-    std::deque<run_at_engine> waiting;
+    std::vector<engine_run> running;
+    std::deque<engine_run> waiting;
 
     [[nodiscard]] std::size_t held() const { return this->running.size() + this->waiting.size(); }
 };
 
-struct word_on_its_way {
+struct report_in_flight {
     std::size_t to = 0;
     std::string from;
     std::vector<endpoint_load> loads;
     instant arrives;
 };
 
-// A fleet in the part of a roll-out in which it fills one endpoint of the new version.
-class filling_fleet {
+// A fleet during the load trial of a rollout, which fills one endpoint of the new version.
+class trial_fleet {
 public:
-    filling_fleet(std::size_t size, double long_answers_a_second) : rate(long_answers_a_second)
+    trial_fleet(std::size_t size, double long_answers_a_second) : rate(long_answers_a_second)
     {
-        const auto plan = this->plan_of_trial(size);
-        this->introduce(size);
+        const auto plan = this->make_trial(size);
+        this->connect_peers(size);
         dispatcher_settings settings;
         settings.endpoints.weighs_all = true;
         settings.endpoints.typical_work = 14.0;
@@ -116,19 +117,19 @@
         }
     }
 
-    void play(duration time)
+    void simulate(duration time)
     {
         for (const auto until = this->now + time; this->now < until; this->now += tick_time) {
-            this->arrive();
+            this->issue_requests();
             this->run_engines();
-            this->tell();
+            this->send_reports();
             for (auto& router : this->routers) {
                 router->on_tick(this->now);
             }
         }
     }
 
-    // Runs of the trial that were sent to the filled endpoint at half of its load or more.
+    // Runs that were sent to the endpoint while its load was at least half of its slots.
     [[nodiscard]] std::uint64_t loaded_runs() const
     {
         std::uint64_t sum = 0;
@@ -141,26 +142,26 @@
 
     std::size_t refused = 0;
     std::size_t arrived = 0;
-    std::size_t most_held = 0; // at one endpoint
+    std::size_t max_held = 0; // at one endpoint
     rollout trial;
 
 private:
-    // As the course of a roll-out states it when its trial begins.
-    [[nodiscard]] rollout plan_of_trial(std::size_t size)
+    // The rollout as `rollout_progress` declares it at the start of its load trial.
+    [[nodiscard]] rollout make_trial(std::size_t size)
     {
         model_rollout_order order{"adjudicator-1", "adjudicator-2", 3, order_time, slots};
-        rollout_progress course({}, order, start);
+        rollout_progress progress({}, order, start);
         request_rates rates;
         rates.long_answers = this->rate / static_cast<double>(size);
         rates.requests = rates.long_answers;
         store_revision revision = 4;
         for (auto at = start; at < start + order_time; at += milliseconds(50)) {
-            const auto wanted = course.on_tick(0, size, rates, at);
+            const auto wanted = progress.on_tick(0, size, rates, at);
             if (wanted.write_record) {
-                course.on_written(at);
-                course.on_record(wanted.write_record, ++revision, at);
+                progress.on_written(at);
+                progress.on_record(wanted.write_record, ++revision, at);
             }
-            this->trial = course.plan("adjudicator");
+            this->trial = progress.plan("adjudicator");
             if (this->trial.fills_endpoint) {
                 break;
             }
@@ -168,10 +169,10 @@
         return this->trial;
     }
 
-    void arrive()
+    void issue_requests()
     {
-        this->due += this->rate * std::chrono::duration<double>(tick_time).count();
-        for (; this->due >= 1.0; this->due -= 1.0) {
+        this->request_credit += this->rate * std::chrono::duration<double>(tick_time).count();
+        for (; this->request_credit >= 1.0; this->request_credit -= 1.0) {
             ++this->arrived;
             const auto router = mix(this->arrived) % this->routers.size();
             arrival request;
@@ -187,11 +188,11 @@
             request.deadline = this->now + seconds(25);
             request.fingerprint = request.ticket;
             this->routers[router]->on_arrival(request, this->now);
-            this->carry_out(router);
+            this->apply_actions(router);
         }
     }
 
-    void carry_out(std::size_t router)
+    void apply_actions(std::size_t router)
     {
         for (const auto& action : this->routers[router]->take_actions()) {
             if (const auto* begun = std::get_if<start_attempt>(&action)) {
@@ -202,34 +203,34 @@
         }
     }
 
-    void send(std::size_t router, const start_attempt& what)
+    void send(std::size_t router, const start_attempt& attempt)
     {
-        auto& engine = this->engines[what.address];
-        if (engine.held() >= slots + queue_places) {
-            this->end(router, what, attempt_result::refused);
+        auto& engine = this->engines[attempt.address];
+        if (engine.held() >= slots + queue_capacity) {
+            this->end(router, attempt, attempt_result::refused);
             return;
         }
-        engine.waiting.push_back({router, what, {}});
-        this->most_held = std::max(this->most_held, engine.held());
+        engine.waiting.push_back({router, attempt, {}});
+        this->max_held = std::max(this->max_held, engine.held());
     }
 
-    void end(std::size_t router, const start_attempt& what, attempt_result result)
+    void end(std::size_t router, const start_attempt& attempt, attempt_result result)
     {
         attempt_end ended;
-        ended.ticket = what.ticket;
-        ended.attempt = what.attempt;
+        ended.ticket = attempt.ticket;
+        ended.attempt = attempt.attempt;
         ended.result = result;
         this->routers[router]->on_attempt_end(ended, this->now);
-        this->carry_out(router);
+        this->apply_actions(router);
     }
 
     void run_engines()
     {
         for (auto& [address, engine] : this->engines) {
-            std::vector<run_at_engine> left;
+            std::vector<engine_run> left;
             for (const auto& run : std::exchange(engine.running, {})) {
                 if (run.ends <= this->now) {
-                    this->end(run.router, run.what, attempt_result::finished);
+                    this->end(run.router, run.attempt, attempt_result::finished);
                 } else {
                     left.push_back(run);
                 }
@@ -238,35 +239,35 @@
             while (engine.running.size() < slots && !engine.waiting.empty()) {
                 auto run = engine.waiting.front();
                 engine.waiting.pop_front();
-                run.ends = this->now + (run.what.size == 2 ? long_run : short_run);
+                run.ends = this->now + (run.attempt.size == 2 ? long_run : short_run);
                 engine.running.push_back(run);
                 CHECK_TRUE(this->routers[run.router]->accepts_answer(
-                    run.what.ticket, run.what.attempt, 100.0, this->now));
+                    run.attempt.ticket, run.attempt.attempt, 100.0, this->now));
             }
         }
     }
 
-    void tell()
+    void send_reports()
     {
         for (std::size_t from = 0; from < this->routers.size(); ++from) {
             const auto& router = *this->routers[from];
             const auto sends = this->exchanges[from]->on_tick(
                 router.endpoints().own_loads(), {true, 1}, this->now, router.filling_loads());
             for (const auto& send : sends) {
-                this->words.push_back({send.to.port, std::to_string(from),
-                                       std::get<load_push>(send.message).loads,
-                                       this->now + word_delay});
+                this->reports.push_back({send.to.port, std::to_string(from),
+                                         std::get<load_push>(send.message).loads,
+                                         this->now + report_delay});
             }
         }
-        for (; !this->words.empty() && this->words.front().arrives <= this->now;
-             this->words.pop_front()) {
-            const auto& word = this->words.front();
-            this->routers[word.to]->on_loads_told(word.from, word.loads, this->now);
+        for (; !this->reports.empty() && this->reports.front().arrives <= this->now;
+             this->reports.pop_front()) {
+            const auto& report = this->reports.front();
+            this->routers[report.to]->on_loads_told(report.from, report.loads, this->now);
         }
     }
 
-    // The place of a router among all stands as its port.
-    void introduce(std::size_t size)
+    // The port of a router is its index in the fleet.
+    void connect_peers(std::size_t size)
     {
         for (std::size_t i = 0; i < size; ++i) {
             peer_exchange_settings settings;
@@ -287,32 +288,32 @@
     }
 
     double rate = 0.0;
-    double due = 0.0;
+    double request_credit = 0.0;
     instant now = start;
     std::vector<std::unique_ptr<dispatcher>> routers;
     std::vector<std::unique_ptr<peer_exchange>> exchanges;
     std::map<std::string, model_engine> engines;
-    std::deque<word_on_its_way> words;
+    std::deque<report_in_flight> reports;
 };
 
-// Guards against callers that are refused, or kept waiting for many others, for a trial's sake.
+// Guards against a trial that causes requests to be refused or to wait behind many others.
 void check_trial(std::size_t routers, double long_answers_a_second)
 {
-    filling_fleet fleet(routers, long_answers_a_second);
+    trial_fleet fleet(routers, long_answers_a_second);
     CHECK_TRUE(fleet.trial.fills_endpoint);
-    fleet.play(std::chrono::duration_cast<duration>(order_time *
-                                                    rollout_progress_settings().longest_load_part));
+    fleet.simulate(std::chrono::duration_cast<duration>(
+        order_time * rollout_progress_settings().max_trial_fraction));
     CHECK_COMPARE(fleet.arrived, >, 0);
     LONGS_EQUAL(0, fleet.refused);
-    CHECK_COMPARE(fleet.most_held, <=, 2 * std::size_t{slots});
-    CHECK_COMPARE(fleet.loaded_runs(), >=, rollout_progress_settings().many_loaded_runs);
+    CHECK_COMPARE(fleet.max_held, <=, 2 * std::size_t{slots});
+    CHECK_COMPARE(fleet.loaded_runs(), >=, rollout_progress_settings().early_end_loaded_runs);
 }
 
 } // namespace
 
-TEST_GROUP(trial_load){// CppUTest looks through all blocks that are held whenever one is freed;
-                       // hundreds of routers hold too many.
-                       void setup()
+// CppUTest searches all allocated blocks whenever one is freed, which is too slow with hundreds of
+// routers.
+TEST_GROUP(trial_load){void setup()
                            override{MemoryLeakWarningPlugin::saveAndDisableNewDeleteOverloads();
 }
 
@@ -323,22 +324,22 @@
 }
 ;
 
-TEST(trial_load, nine_routers_fill_one_endpoint_and_refuse_nobody)
+TEST(trial_load, nine_routers_fill_one_endpoint_without_refusals)
 {
     check_trial(9, 160.0);
 }
 
-TEST(trial_load, ninety_routers_fill_one_endpoint_and_refuse_nobody)
+TEST(trial_load, ninety_routers_fill_one_endpoint_without_refusals)
 {
     check_trial(90, 160.0);
 }
 
-TEST(trial_load, some_hundred_routers_fill_one_endpoint_and_refuse_nobody)
+TEST(trial_load, hundreds_of_routers_fill_one_endpoint_without_refusals)
 {
     check_trial(295, 160.0);
 }
 
-TEST(trial_load, a_fleet_of_the_target_size_fills_one_endpoint_and_refuses_nobody)
+TEST(trial_load, fleet_of_the_target_size_fills_one_endpoint_without_refusals)
 {
     check_trial(740, 400.0);
 }
