--- a/coordination/include/pearhaven/coordination/bill_ledger.hpp
+++ b/coordination/include/pearhaven/coordination/bill_ledger.hpp
@@ -18,7 +18,7 @@
 
 inline constexpr std::string_view bill_page_prefix = "bills/";
 
-// Port to the stored form of a page of bills. Pure.
+// Interface for the stored form of a page of bills. Implementations have no side effects.
 class bill_page_codec {
 public:
     virtual ~bill_page_codec() = default;
@@ -27,54 +27,56 @@
     read_bills(std::string_view text) const = 0;
 };
 
-// Counts each request once, whichever pages and copies its bill stands on. Of several bills of one
-// request the costliest holds: a resent request may have been run twice, and is paid for once.
+// Keeps one bill for each request, however many pages and copies contain it. Of several bills of
+// one request the most expensive counts: a resent request may have run twice but is paid for once.
 [[nodiscard]] std::map<std::string, bill> fold_bills(const std::vector<bill>& bills);
 
 struct bill_ledger_settings {
     incarnation_id self;
     std::string zone;
-    std::size_t page_bills = 64;   // bills on a page after which the next write begins a new one
-    std::size_t write_bills = 512; // bills in one write at the most
+    std::size_t page_bills = 64;   // bills on a page, after which the next write starts a new one
+    std::size_t write_bills = 512; // maximum number of bills in one write
     std::size_t max_waiting =
-        20'000;                    // bills not yet in the store, beyond which new work is to stop
-    std::size_t max_held = 50'000; // bills held for other routers
-    std::size_t copies = 2;        // peers that hold a bill while the store is out
-    std::size_t batch_bills = 500; // bills in one copy message
+        20'000; // bills not yet in the store; at this number the router stops taking new requests
+    std::size_t max_held = 50'000; // maximum number of bills held for other routers
+    std::size_t copies = 2;        // peers that hold a bill while the store is unavailable
+    std::size_t batch_bills = 500; // maximum number of bills in one copy message
     decision::duration commit_period =
-        std::chrono::milliseconds{50}; // between two writes at the least
-    decision::duration store_timeout = std::chrono::milliseconds{300}; // then copies go to peers
+        std::chrono::milliseconds{50}; // minimum time between two writes
+    // after this, copies are sent to peers
+    decision::duration store_timeout = std::chrono::milliseconds{300};
     decision::duration copy_resend = std::chrono::milliseconds{500};
-    // After it, the copies of an owner that is not among the live peers go to the store: its death
-    // may have been told before its last copy came, or while this router was not listening.
+    // After this time the copies of an owner that is not among the live peers are written to the
+    // store. The owner's death may have been reported before its last copy arrived, or while this
+    // router was not receiving reports.
     decision::duration owner_timeout = std::chrono::seconds{30};
     decision::duration first_retry = std::chrono::milliseconds{200};
     decision::duration longest_retry = std::chrono::seconds{2};
 };
 
-// The bill is where it survives this router: its answer's end may be sent.
+// The bill is stored where it survives this router, so the end of its answer may be sent.
 struct bill_safe {
     std::string request;
 
     friend bool operator==(const bill_safe&, const bill_safe&) = default;
 };
 
-// One router's bills on their way into the store, and the copies that it holds for others.
+// One router's bills until they are in the store, and the copies that it holds for other routers.
 //
-// Bills are written in pages `bills/SELF/NUMBER` that only this incarnation writes, by
-// compare-and-swap: many bills share one write, and a write whose reply was lost is settled by
-// reading the page again. While the store does not answer, each bill goes to the memory of two
-// peers, in other availability zones where there are such, and counts as safe when they have
-// acknowledged it. When the page has landed the copies are dropped; when their owner is dead, each
-// holder writes its copies to a page of its own below the owner's key, and folding by request makes
-// that harmless.
+// Bills are written in pages `bills/SELF/NUMBER`, which only this incarnation writes, by
+// compare-and-swap. Many bills share one write, and a write whose reply was lost is resolved by
+// reading the page again. While the store does not reply, each bill is copied to the memory of two
+// peers, in other availability zones if possible, and is safe once they have acknowledged it. When
+// the page is committed, the copies are dropped. When their owner dies, each holder writes its
+// copies to a page of its own under the owner's key; duplicates are harmless, since bills are
+// merged by request.
 //
 // What can still be lost:
 //   - a bill whose router dies after the answer's last token and before the write or the copies:
-//   the
-//     answer's end was not sent, so the caller knows that it is not whole and sends it again under
-//     the same key; a caller that never comes back is not billed;
-//   - during an outage, a bill whose router and both holders die before the store is back;
+//     the end of the answer was not sent, so the caller knows that it is incomplete and resends the
+//     request under the same key; a caller that does not resend is not billed;
+//   - during an outage of the store, a bill whose router and both holders die before the store is
+//     back;
 //   - during an outage with no live peer, a bill whose router dies.
 class bill_ledger {
 public:
@@ -88,27 +90,28 @@
     void on_reply(call_tag tag, const kv_reply& reply, decision::instant now);
     void on_message(const member_address& from, const peer_message& message, decision::instant now);
 
-    // Live peers, without this router.
+    // The live peers, without this router.
     void set_peers(std::vector<member> live);
 
-    // The router will not come back: copies held for it go to the store.
+    // The router will not come back; copies held for it are written to the store.
     void on_member_dead(const incarnation_id& owner, decision::instant now);
 
     [[nodiscard]] std::vector<action> take_actions();
 
-    // Bills of this router that the store does not hold yet, and copies of dead owners' bills.
+    // Number of this router's bills that are not in the store yet, plus pending writes of copies of
+    // dead owners' bills.
     [[nodiscard]] std::size_t waiting() const;
 
-    // Whether so many bills wait that taking more work would lose some.
+    // Whether so many bills are pending that accepting more requests could lose some.
     [[nodiscard]] bool is_full() const { return this->waiting() >= this->settings.max_waiting; }
 
 private:
     struct page_write {
         call_tag tag = 0;
         std::uint64_t page = 0;
-        bool is_read = false; // asks what became of an ambiguous write
+        bool is_read = false; // reads the page to resolve an ambiguous write
         decision::instant start;
-        std::vector<bill> contents; // what stands on the page once this write has landed
+        std::vector<bill> contents; // the page's bills once this write is committed
     };
     struct copy_batch {
         std::vector<std::string> requests;
@@ -147,7 +150,7 @@
     std::vector<member> peers;
 
     std::deque<bill> pending;     // not known to be in the store, oldest first
-    std::set<std::string> unsafe; // requests whose safety is still to be told
+    std::set<std::string> unsafe; // requests without a `bill_safe` action so far
     std::uint64_t page = 1;
     std::vector<bill> committed; // on the current page
     store_revision page_revision = 0;
@@ -159,12 +162,13 @@
 
     std::map<std::uint64_t, copy_batch> batches;
     std::deque<bill> uncopied;    // bills that are in no batch yet
-    std::set<std::string> copied; // requests in a batch, until they have landed
+    std::set<std::string> copied; // requests in a batch, until they are committed
     std::uint64_t next_batch = 1;
 
     std::map<incarnation_id, std::map<std::uint64_t, std::vector<bill>>> held;
     std::map<incarnation_id, decision::instant>
-        missing_since; // owners of copies, since they were missed
+        // owners of copies, with the time since when they are not among the live peers
+        missing_since;
     std::size_t held_count = 0;
     std::deque<recovery_write> recoveries;
     std::optional<call_tag> recovery_tag;
--- a/coordination/include/pearhaven/coordination/lease_holder.hpp
+++ b/coordination/include/pearhaven/coordination/lease_holder.hpp
@@ -15,7 +15,7 @@
 
 inline constexpr std::string_view duty_prefix = "duties/";
 
-// Who holds a duty. The lease tells two attempts of one router apart.
+// The holder of a duty. The lease distinguishes two attempts of the same router.
 struct duty_record {
     incarnation_id holder;
     lease_number lease = 0;
@@ -23,7 +23,7 @@
     friend bool operator==(const duty_record&, const duty_record&) = default;
 };
 
-// Port to the stored form of a duty's record. Pure.
+// Interface for the stored form of a duty's record. Implementations have no side effects.
 class duty_codec {
 public:
     virtual ~duty_codec() = default;
@@ -31,20 +31,21 @@
     [[nodiscard]] virtual std::optional<duty_record> read_duty(std::string_view text) const = 0;
 };
 
-// Orders that carry a higher number are newer, whoever gave them.
+// Orders with a higher number are newer, whichever router sent them.
 using fencing_number = std::uint64_t;
 
 struct lease_holder_settings {
     std::string duty;
     incarnation_id self;
-    std::uint64_t seed = 0; // spreads the candidates' attempts; any number
+    std::uint64_t seed = 0; // randomizes the times of the candidates' attempts
     decision::duration time_to_live = std::chrono::seconds{10};
-    // Taken off the lease's end, for the difference in rate of two clocks and for the time between
-    // a look at `may_order` and the sending of the order.
+    // Subtracted from the lease's time, to allow for clock drift and for the time between a check
+    // of `may_order` and the sending of the order.
     decision::duration margin = std::chrono::seconds{2};
-    // After this no endpoint still acts on an order that was sent.
+    // Time after which no endpoint acts on an order any more.
     decision::duration longest_order = std::chrono::seconds{10};
-    decision::duration poll_period = std::chrono::seconds{2}; // of candidates that do not hold it
+    // between two reads by a candidate that does not hold the duty
+    decision::duration poll_period = std::chrono::seconds{2};
     decision::duration retry = std::chrono::milliseconds{500};
 };
 
@@ -55,29 +56,30 @@
     friend bool operator==(const duty_taken&, const duty_taken&) = default;
 };
 
-// This router holds the duty no more, by its own clock or by the store's word.
+// This router no longer holds the duty, according to its own clock or to the store.
 struct duty_lost {
     friend bool operator==(const duty_lost&, const duty_lost&) = default;
 };
 
-// One duty that at most one router does at a time, such as advancing roll-outs.
+// A duty that at most one router performs at a time, such as advancing rollouts.
 //
-// The duty is a key in the store that hangs on a lease. Who creates it holds the duty and renews
-// the lease; when it ends, the key goes and another may create it. The fencing number is the
-// store's revision of the key, which grows with every change of holder.
+// The duty is a key in the store that is attached to a lease. The router that creates the key holds
+// the duty and renews the lease; when the lease ends, the key is deleted and another router may
+// create it. The fencing number is the store's revision of the key, which grows with every change
+// of holder.
 //
-// A holder may have been paused, or its renewals may be lost. So it goes by its own monotonic
-// clock: from the start of the last grant or renewal that succeeded, the store keeps the lease for
-// its time, and the holder counts on that less a margin. `may_order` is asked with the time read
-// right before each order.
+// A holder may have been paused, or its renewals may be lost, so it relies on its own monotonic
+// clock: the store keeps the lease for its time to live from the start of the last successful grant
+// or renewal, and the holder uses that time less a margin. `may_order` has to be called with the
+// current time right before each order.
 //
-// A holder that is paused between that look and the sending still sends a stale order. Endpoints
-// that check the number refuse it. For those that do not, a new holder first waits for the lease's
-// time (should the store have dropped the key early) and the longest time of an order; what comes
-// even later than that is put right only by giving the order again, which the holder should do now
-// and then, with orders that set a state.
+// A holder that is paused between that check and the sending still sends a stale order. Endpoints
+// that check the number refuse it. Before ordering endpoints that do not, a new holder waits for
+// the lease's time to live (in case the store deleted the key early) plus the longest time of an
+// order. An order that arrives even later is corrected only by repeating the current one, which the
+// holder should do from time to time, with orders that set a state.
 //
-// Candidates look at the key every few seconds: let only a bounded number of routers be candidates.
+// Candidates read the key every few seconds, so limit the number of routers that are candidates.
 class lease_holder {
 public:
     using action = std::variant<store_call, duty_taken, duty_lost, unreadable_value>;
@@ -85,15 +87,15 @@
     // The codec must outlive the holder.
     lease_holder(lease_holder_settings settings, const duty_codec& codec, decision::instant now);
 
-    // Whether this router takes the duty when it is free. One that holds it keeps it.
+    // Whether this router takes the duty when it is available. A router that holds it keeps it.
     void set_candidate(bool candidate) { this->is_candidate = candidate; }
 
-    // To be called every 100 ms or so.
+    // Has to be called about every 100 ms.
     void on_tick(decision::instant now);
     void on_reply(call_tag tag, const kv_reply& reply, decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
 
-    // Gives the duty up, and does not take it again. No order may be under way.
+    // Releases the duty and does not take it again. No order may be in flight.
     void release();
 
     // Whether an order to endpoints that check the fencing number may be sent now.
@@ -102,7 +104,7 @@
     // The same for endpoints that do not check it.
     [[nodiscard]] bool may_order_unchecked(decision::instant now) const;
 
-    // Goes with each order; 0 while the duty is not held.
+    // Sent with each order; 0 while the duty is not held.
     [[nodiscard]] fencing_number number() const { return this->taken ? this->taken->number : 0; }
 
 private:
@@ -136,7 +138,7 @@
     std::optional<call_tag> open_call;
     decision::instant call_start;
     lease_number lease = 0;
-    decision::instant lease_start; // of the last grant or renewal that succeeded
+    decision::instant lease_start; // start of the last successful grant or renewal
     std::optional<holding> taken;
 
     call_tag next_tag = 1;
--- a/coordination/src/bill_ledger.cpp
+++ b/coordination/src/bill_ledger.cpp
@@ -76,8 +76,9 @@
         this->page_revision = 0;
     }
     auto contents = this->committed;
-    // Pages are small, since each write sends the whole page again; a write is not, since the bills
-    // that wait while one is under way would otherwise pile up for as long as the load lasts.
+    // Pages are small, since each write sends the whole page again. A single write may be larger:
+    // otherwise the bills that arrive during a write would accumulate for as long as the load
+    // lasts.
     const auto room = this->settings.write_bills - contents.size();
     const auto count = static_cast<std::ptrdiff_t>(std::min(room, this->pending.size()));
     contents.insert(contents.end(), this->pending.begin(), this->pending.begin() + count);
@@ -98,7 +99,7 @@
 {
     if (this->recovery_tag == tag) {
         this->recovery_tag.reset();
-        // A conflict means that an earlier try of the same write has landed.
+        // A conflict means that an earlier attempt of the same write was committed.
         if (reply.outcome == kv_outcome::ok || reply.outcome == kv_outcome::conflict) {
             this->recoveries.pop_front();
         } else {
@@ -116,11 +117,11 @@
         if (!reply.entries.empty()) {
             this->on_page_state(reply.entries.front(), now);
         } else if (finished_write.is_read || reply.outcome == kv_outcome::conflict) {
-            this->ambiguous = false; // the page is not there: no earlier write has landed
+            this->ambiguous = false; // the page does not exist: no earlier write was committed
             this->on_write_failed(now);
         } else {
-            // Bills that came after the write began are not on the page, and must not be called
-            // safe.
+            // Bills that were added after the write started are not on the page and must not be
+            // reported safe.
             this->page_revision = reply.revision;
             this->on_committed(finished_write.contents);
         }
@@ -133,8 +134,8 @@
         this->on_write_failed(now);
         break;
     case kv_outcome::unknown:
-        // The write may yet land, and a second write over it would then fail or, worse, be taken
-        // for the first. What stands on the page settles it.
+        // The write may still be committed; a second write over it would then fail or, worse, be
+        // mistaken for the first. Reading the page resolves it.
         this->ambiguous = true;
         this->on_write_failed(now);
         break;
@@ -142,13 +143,13 @@
     this->commit_when_due(now);
 }
 
-// Only this incarnation writes the page, so whatever stands there are bills of its own.
+// Only this incarnation writes the page, so all bills on it are its own.
 void bill_ledger::on_page_state(const kv_entry& entry, decision::instant now)
 {
     this->ambiguous = false;
     const auto on_page = this->codec.read_bills(entry.value);
     if (!on_page) {
-        // Not to be mended: the bills go to a new page.
+        // The page cannot be repaired, so the bills go to a new one.
         this->actions.emplace_back(unreadable_value{entry.key});
         ++this->page;
         this->committed.clear();
@@ -245,8 +246,8 @@
     }
 }
 
-// Other availability zones first: a zone that goes down should not take a bill and its copies
-// along.
+// Prefers other availability zones: the failure of a zone should not lose a bill together with its
+// copies.
 std::vector<const member*> bill_ledger::copy_targets() const
 {
     std::vector<const member*> targets;
@@ -295,7 +296,8 @@
     }
 }
 
-// Drops are by number up to which everything has landed, so a batch waits for those before it.
+// A drop message covers all batches up to a number, so a batch is dropped only after those before
+// it.
 void bill_ledger::drop_committed_batches()
 {
     std::optional<std::uint64_t> done;
@@ -352,7 +354,8 @@
 
 void bill_ledger::hold(const member_address& from, const bill_copy& copy)
 {
-    // Beyond the bound nothing is acknowledged, so that no owner believes its bills safe here.
+    // Copies beyond the limit are not acknowledged, so that their owner does not treat the bills as
+    // safe here.
     if (this->held_count + copy.bills.size() > this->settings.max_held) {
         return;
     }
@@ -370,7 +373,7 @@
         return;
     }
     for (const auto& [number, bills] : found->second) {
-        // The holder's name in the key keeps two holders from overwriting each other.
+        // The holder's ID in the key prevents two holders from overwriting each other's copies.
         auto key = std::string(bill_page_prefix) + owner + "/copy-" + this->settings.self + "-" +
                    std::to_string(number);
         this->recoveries.push_back({std::move(key), this->codec.write_bills(bills)});
--- a/coordination/src/lease_holder.cpp
+++ b/coordination/src/lease_holder.cpp
@@ -49,7 +49,7 @@
 void lease_holder::on_reply(call_tag tag, const kv_reply& reply, instant now)
 {
     if (this->open_call != tag) {
-        return; // of a lease that was given up
+        return; // belongs to a lease that was given up
     }
     this->open_call.reset();
     switch (this->step) {
@@ -90,7 +90,8 @@
     this->actions.emplace_back(store_call{*this->open_call, std::move(request)});
 }
 
-// Candidates that saw the duty free at the same time try it one after the other.
+// A random delay, so that candidates that find the duty available at the same time do not all try
+// to take it at once.
 duration lease_holder::jitter()
 {
     const auto period = static_cast<std::uint64_t>(this->settings.poll_period.count());
@@ -140,17 +141,19 @@
 {
     if (reply.outcome == kv_outcome::ok) {
         this->take(reply.revision, now);
-    } else if (reply.outcome == kv_outcome::not_found) { // the lease has ended meanwhile
+    } else if (reply.outcome == kv_outcome::not_found) { // the lease has expired
         this->give_up(now);
     } else {
-        // Also after a conflict: the key may be there by an earlier try whose reply was lost.
+        // Also after a conflict: the key may have been created by an earlier attempt whose reply
+        // was lost.
         this->step = phase::checking;
         this->due = now + (has_no_answer(reply) ? this->settings.retry : duration{});
         this->on_tick(now);
     }
 }
 
-// A creation with an open outcome is tried again under the same lease: only one can take effect.
+// A creation with an unknown outcome is retried under the same lease, so at most one attempt can
+// take effect.
 void lease_holder::on_checked(const kv_reply& reply, instant now)
 {
     if (has_no_answer(reply)) {
@@ -193,7 +196,7 @@
     }
 }
 
-// What the lease still holds goes with it; a reply that is still open is not looked at.
+// Revoking the lease deletes the key, if it exists. A reply that is still pending is ignored.
 void lease_holder::give_up(instant now)
 {
     if (this->taken) {
--- a/coordination/src/once_claims.cpp
+++ b/coordination/src/once_claims.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Holders that are missed are few; beyond this the oldest is forgotten and its patience starts
-// anew.
+// Few holders are missing at a time. Beyond this number one entry is removed, and its timeout
+// starts again.
 constexpr std::size_t max_missing_holders = 1024;
 
 } // namespace
@@ -91,7 +91,7 @@
     }
 }
 
-// True when the claim needs no more work.
+// Returns true if the claim needs no more work.
 bool once_claims::give_up_creating(claim_number number, claim_work& work, decision::instant now)
 {
     if (now - work.start_time < this->settings.claim_timeout) {
@@ -105,9 +105,10 @@
     if (!work.unresolved_write) {
         return true;
     }
-    // The caller is told that the request was not run, but our write may still land, and would
-    // block the caller's next try for ever. Writing `not_run` on the same state settles it: either
-    // it takes the place, and the late write fails, or it finds the late write and replaces it.
+    // The caller is informed that the request was not run, but the claim's write may still be
+    // committed and would then block the caller's next attempt permanently. Writing `not_run` at
+    // the same revision resolves this: either it is stored first and the late write fails, or it
+    // finds the late write and replaces it.
     work.step = phase::abandoned;
     work.record.state = claim_state::not_run;
     return false;
@@ -174,8 +175,9 @@
     this->advance(number, work, now);
 }
 
-// True when the claim needs no more work. Nothing was written, so the caller can be refused at once
-// and told when to come back; only an earlier write without a reply has to be settled first.
+// Returns true if the claim needs no more work. Nothing was written, so the caller can be
+// refused at once and informed when to retry; only an earlier write without a reply has to be
+// resolved first.
 bool once_claims::on_unavailable(claim_number number, claim_work& work, decision::instant now)
 {
     if (work.step == phase::creating && !work.unresolved_write) {
@@ -186,7 +188,7 @@
     return false;
 }
 
-// True when the claim needs no more work.
+// Returns true if the claim needs no more work.
 bool once_claims::on_written(claim_number number, claim_work& work, store_revision revision)
 {
     work.revision = revision;
@@ -210,7 +212,7 @@
 {
     const auto found = this->codec.read_claim(entry.value);
     if (!found) {
-        // Nobody can tell what ran under this key, so it is not run again.
+        // It cannot be determined what ran under this key, so it is not run again.
         this->actions.emplace_back(unreadable_value{entry.key});
         if (work.step == phase::creating) {
             this->decide(number, claim_verdict::unknown, "");
@@ -225,8 +227,8 @@
     if (is_written) {
         return this->on_written(number, work, entry.revision);
     }
-    // Ours, in an earlier state, or closed as unknown by a router that missed us: our end replaces
-    // it.
+    // This router's claim, in an earlier state or closed as unknown by a router that presumed this
+    // one dead. The write with its end replaces it.
     if (work.step == phase::creating) {
         this->decide(number, claim_verdict::unknown, "");
         return true;
@@ -238,7 +240,7 @@
                                   const claim_record& found, decision::instant now)
 {
     if (work.step != phase::creating) {
-        return true; // ours never stood, or was replaced after we had closed it
+        return true; // this claim was never stored, or was replaced after it was closed
     }
     switch (found.state) {
     case claim_state::ran:
@@ -265,13 +267,13 @@
 void once_claims::close_for_dead_holder(const kv_entry& entry, claim_record found)
 {
     found.state = claim_state::unknown;
-    // Nobody waits for the reply: if the write fails, the next resend makes it again.
+    // The reply is ignored: if the write fails, the next resend of the request repeats it.
     this->actions.emplace_back(
         store_call{this->next_tag++, kv_compare_and_swap{entry.key, this->codec.write_claim(found),
                                                          entry.revision, 0}});
 }
 
-// A wrong answer does no harm beyond a caller that is told `unknown` too early.
+// A wrong result only makes a caller get `unknown` too early.
 bool once_claims::is_presumed_dead(const incarnation_id& holder, decision::instant now)
 {
     if (holder == this->settings.self || this->live.count(holder) > 0) {
--- a/coordination/test/bill_ledger_test.cpp
+++ b/coordination/test/bill_ledger_test.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Requests' names, separated by spaces: enough for the ledger, which looks at nothing else.
+// Stores only the request names, separated by spaces; the ledger uses no other field.
 class name_codec : public bill_page_codec {
 public:
     [[nodiscard]] std::string write_bills(const std::vector<bill>& bills) const override
@@ -125,8 +125,8 @@
     LONGS_EQUAL(0, ledger.waiting());
 }
 
-// Bills come faster than writes of four of them land. All that wait go out with the next write;
-// otherwise each answer's end would come later than the one before.
+// Bills arrive faster than writes of four bills complete. All pending bills go into the next write;
+// otherwise the end of each answer would be delayed more than the one before.
 TEST(bill_ledger_test, all_pending_bills_go_into_one_write)
 {
     bill_ledger ledger(settings, codec);
@@ -143,9 +143,9 @@
     LONGS_EQUAL(40, folded(store).size());
 }
 
-// The caller of `b` would get its answer's end while `b` stands on no page: `b` comes while the
-// write of `a` is under way, and the reply to that write speaks of `a` alone. A kill now loses b's
-// bill.
+// Bill `b` is added while the write of `a` is in flight, and the reply to that write covers only
+// `a`. If the reply made `b` safe, its caller would get the end of the answer while `b` is on no
+// page, and a kill of the router would lose the bill.
 TEST(bill_ledger_test, bill_added_during_a_write_is_not_made_safe_by_that_write)
 {
     bill_ledger ledger(settings, codec);
@@ -157,8 +157,8 @@
     LONGS_EQUAL(1, ledger.waiting());
 }
 
-// The caller waits for its end while the reply to the write is lost. The write did land: writing
-// the page once more against the old revision would fail for good, so the page is read instead.
+// The reply to a committed write is lost while the caller waits for the end of its answer. Writing
+// the page again at the old revision would always fail, so the page is read instead.
 TEST(bill_ledger_test, write_with_a_lost_reply_is_resolved_by_reading_the_page)
 {
     bill_ledger ledger(settings, codec);
@@ -173,8 +173,8 @@
     CHECK_TRUE(take(ledger).safe == std::vector<std::string>{"a"});
 }
 
-// The store is out for minutes. Callers still get their answers' ends, since two routers in other
-// zones hold the bill; nobody's answer hangs on the store.
+// The store is unavailable for minutes. Callers still get the end of their answers, since two
+// routers in other availability zones hold the bill.
 TEST(bill_ledger_test, bill_is_safe_with_two_peers_during_a_store_outage)
 {
     bill_ledger ledger(settings, codec);
@@ -193,8 +193,9 @@
     LONGS_EQUAL(1, ledger.waiting());
 }
 
-// A router is killed during an outage, after its caller had the answer's end. Both holders write
-// the copy once the store is back: the request stands on two pages and is still billed once.
+// A router is killed during an outage of the store, after its caller got the end of the answer.
+// Both holders write their copy once the store is back: the request is on two pages and is still
+// billed once.
 TEST(bill_ledger_test, copies_of_a_dead_owner_are_written_by_each_holder_and_counted_once)
 {
     for (const std::string holder : {"p1", "p2"}) {
@@ -211,8 +212,8 @@
     LONGS_EQUAL(1, folded(store).size());
 }
 
-// The word of the owner's death comes before its last copy, which was slow on its way. Nobody will
-// tell of that death again, and the copy would lie in the holder's memory until that is replaced.
+// The report of the owner's death arrives before its last copy, which was delayed. The death is not
+// reported again, so the copy would stay in the holder's memory until the holder is restarted.
 TEST(bill_ledger_test, copy_received_after_its_owners_death_is_written)
 {
     bill_ledger holder(settings, codec);
@@ -234,8 +235,8 @@
     LONGS_EQUAL(0, take(holder).calls.size());
 }
 
-// Writes fail, land unseen, or are answered, in any order. Whatever was called safe stands in the
-// store or with the peers, and once the store answers again every bill stands there.
+// Writes fail, are committed without a reply, or are answered, in any order. Every bill that was
+// reported safe is in the store, and once the store replies again all bills are.
 TEST(bill_ledger_test, no_sequence_of_failed_writes_loses_or_repeats_a_bill)
 {
     const bool holds = rc::check("bills land once", [this] {
--- a/coordination/test/lease_holder_test.cpp
+++ b/coordination/test/lease_holder_test.cpp
@@ -27,7 +27,7 @@
     mutable value_table<duty_record> records;
 };
 
-// Candidates for one duty.
+// A set of candidates for one duty.
 struct duty_fleet : fleet<lease_holder> {
     duty_fleet(std::uint64_t seed, std::size_t size) : fleet(seed, size), last_order(size)
     {
@@ -51,8 +51,9 @@
         }
     }
 
-    // No two routers may order at a time; orders to endpoints that check no number come only when
-    // no other router has ordered for as long as an order can take.
+    // Checks that no two routers may order at the same time, and that endpoints that do not check
+    // the fencing number get orders only once no other router has ordered for the longest time of
+    // an order.
     void on_ticked(std::size_t node) override
     {
         const instant now = this->clock.now();
@@ -99,8 +100,8 @@
     CHECK_EQUAL(0, candidates.violations);
 }
 
-// The holder is stopped for longer than its lease, another takes over, and the first goes on where
-// it stood. It must see by its clock that its time is over before it does anything.
+// The holder is paused for longer than its lease, another router takes over, and the first one
+// resumes. Its clock must show that its lease has expired before it sends an order.
 TEST(lease_holder_test, holder_paused_past_its_lease_may_not_order_when_it_resumes)
 {
     duty_fleet candidates(2, 3);
@@ -116,7 +117,8 @@
     CHECK_EQUAL(0, candidates.violations);
 }
 
-// The reply to the grant was on its way for five seconds, and the store counts from its sending.
+// The reply to the grant takes five seconds, while the store counts the lease's time from the
+// grant.
 TEST(lease_holder_test, lease_time_counts_from_the_start_of_the_grant_request)
 {
     table_duty_codec codec;
@@ -132,8 +134,8 @@
     CHECK_EQUAL(4U, holder.number());
 }
 
-// The old holder's last order may reach an endpoint that takes any number long after the new holder
-// has begun, and undo what that one ordered.
+// The old holder's last order may reach an endpoint that does not check the fencing number long
+// after the new holder took over, and revert the new holder's orders.
 TEST(lease_holder_test, new_holder_waits_before_ordering_endpoints_that_do_not_check_fencing)
 {
     duty_fleet candidates(3, 1);
@@ -156,8 +158,8 @@
     CHECK_EQUAL(1 - first, candidates.holder());
 }
 
-// Random pauses, outages and lost replies. Never two at a time, the numbers rise, and when the
-// faults end one candidate holds the duty.
+// Random pauses, outages and lost replies: there are never two holders at a time, the fencing
+// numbers increase, and one candidate holds the duty after the faults have ended.
 TEST(lease_holder_test, no_sequence_of_faults_gives_the_duty_to_two_routers)
 {
     const bool held = holds_for_seeds("duties", [](std::uint64_t seed) {
--- a/coordination/test/once_claims_test.cpp
+++ b/coordination/test/once_claims_test.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// state|holder|write id|outcome
+// Stores a claim as `state|holder|write id|outcome`.
 class pipe_codec : public claim_codec {
 public:
     [[nodiscard]] std::string write_claim(const claim_record& claim) const override
@@ -90,7 +90,7 @@
         return calls;
     }
 
-    // Answers every call until a decision comes.
+    // Replies to every call until the claim is decided.
     claim_verdict decided(once_claims & claims)
     {
         for (int round = 0; round < 200; ++round) {
@@ -149,8 +149,9 @@
     CHECK_TRUE(decided(second) == claim_verdict::granted);
 }
 
-// The write lands, its reply is lost. Taking the silence for a failure would tell the caller `not
-// run` and leave a claim that blocks its next send; trying again blindly would find the key taken.
+// The write is committed but its reply is lost. Treating that as a failure would report `not run`
+// to the caller and leave a claim that blocks its next send; a plain retry would find the key
+// taken.
 TEST(once_claims_test, claim_with_a_lost_reply_is_found_by_its_write_id)
 {
     first.claim("team", "key", next_id(), now);
@@ -160,8 +161,9 @@
     CHECK_TRUE(decided(first) == claim_verdict::granted);
 }
 
-// The store is silent, so the caller is refused: not run. Afterwards the write lands after all. The
-// caller sends again to another router, and must not find its request blocked for ever.
+// The store does not reply, so the caller is refused with `not run`, and afterwards the write is
+// committed after all. The caller resends the request to another router and must not find it
+// blocked permanently.
 TEST(once_claims_test, claim_committed_after_its_refusal_is_closed_as_not_run)
 {
     first.claim("team", "key", next_id(), now);
@@ -175,8 +177,8 @@
     CHECK_TRUE(decided(second) == claim_verdict::granted);
 }
 
-// The holder is killed after its claim. Whether it had sent the booking cannot be known: the resend
-// is told so, and nobody runs it again.
+// The holder is killed after its claim. Whether it had dispatched the request cannot be determined:
+// a resend gets `unknown`, and no router runs the request again.
 TEST(once_claims_test, claim_of_a_dead_holder_is_closed_as_unknown)
 {
     first.claim("team", "key", next_id(), now);
@@ -192,8 +194,8 @@
     CHECK_TRUE(decided(second) == claim_verdict::unknown);
 }
 
-// The store refuses the write, so nothing was claimed and nothing can have run. Waiting for the
-// store would keep the caller from the answer that is already known.
+// The store rejects the write, so nothing was claimed and nothing can have run. Waiting for the
+// store would only delay an answer that is already known.
 TEST(once_claims_test, request_is_refused_at_once_while_the_store_is_unavailable)
 {
     first.claim("team", "key", next_id(), now);
@@ -205,8 +207,8 @@
     LONGS_EQUAL(0, first.open());
 }
 
-// The store is silent: whether the claim was written is not known, and the caller is not kept
-// longer than the patience.
+// The store does not reply, so it is unknown whether the claim was written. The caller must not
+// wait longer than the claim timeout.
 TEST(once_claims_test, request_is_refused_within_the_claim_timeout_while_the_store_does_not_reply)
 {
     first.claim("team", "key", next_id(), now);
@@ -223,9 +225,9 @@
     FAIL("the claim was never decided");
 }
 
-// Two routers and one key: sends, resends, lost and late replies, calls that land late, routers
-// that miss each other. A dispatch whose router never said `not run` afterwards is the only one for
-// ever.
+// Two routers and one key: sends, resends, lost and late replies, writes that are committed late,
+// and routers that presume each other dead. At most one dispatch happens unless its router has
+// closed the claim as `not_run`.
 TEST(once_claims_test, no_sequence_of_faults_lets_a_request_run_twice)
 {
     const bool holds = rc::check("at most one run", [] {
