--- a/coordination/include/pearhaven/coordination/bill_ledger.hpp
+++ b/coordination/include/pearhaven/coordination/bill_ledger.hpp
@@ -36,13 +36,13 @@
     std::string zone;
     std::size_t page_bills = 64;   // bills on a page, after which the next write starts a new one
     std::size_t write_bills = 512; // maximum number of bills in one write
-    std::size_t max_waiting =
-        20'000; // bills not yet in the store; at this number the router stops taking new requests
+    // bills not yet in the store; at this number the router stops taking new requests
+    std::size_t max_waiting = 20'000;
     std::size_t max_held = 50'000; // maximum number of bills held for other routers
     std::size_t copies = 2;        // peers that hold a bill while the store is unavailable
     std::size_t batch_bills = 500; // maximum number of bills in one copy message
-    decision::duration commit_period =
-        std::chrono::milliseconds{50}; // minimum time between two writes
+    // minimum time between two writes
+    decision::duration commit_period = std::chrono::milliseconds{50};
     // after this, copies are sent to peers
     decision::duration store_timeout = std::chrono::milliseconds{300};
     decision::duration copy_resend = std::chrono::milliseconds{500};
@@ -166,9 +166,8 @@
     std::uint64_t next_batch = 1;
 
     std::map<incarnation_id, std::map<std::uint64_t, std::vector<bill>>> held;
-    std::map<incarnation_id, decision::instant>
-        // owners of copies, with the time since when they are not among the live peers
-        missing_since;
+    // owners of copies, with the time since when they are not among the live peers
+    std::map<incarnation_id, decision::instant> missing_since;
     std::size_t held_count = 0;
     std::deque<recovery_write> recoveries;
     std::optional<call_tag> recovery_tag;
--- a/coordination/include/pearhaven/coordination/lease_holder.hpp
+++ b/coordination/include/pearhaven/coordination/lease_holder.hpp
@@ -37,7 +37,7 @@
 struct lease_holder_settings {
     std::string duty;
     incarnation_id self;
-    std::uint64_t seed = 0; // randomizes the times of the candidates' attempts
+    std::uint64_t seed = 0; // randomizes the times of the candidates' attempts; any value
     decision::duration time_to_live = std::chrono::seconds{10};
     // Subtracted from the lease's time, to allow for clock drift and for the time between a check
     // of `may_order` and the sending of the order.
--- a/coordination/include/pearhaven/coordination/rollout_progress.hpp
+++ b/coordination/include/pearhaven/coordination/rollout_progress.hpp
@@ -45,8 +45,8 @@
     decision::run_counts speed;    // slow answers count as bad
     decision::run_counts earlier;  // like `seen`, for the earlier states
     double long_answer_rate = 0.0; // long answers started by this router per second
-    decision::load_counts
-        under_load{}; // over all states; see `rollout_progress_settings::load_per_slot`
+    // over all states; see `rollout_progress_settings::load_per_slot`
+    decision::load_counts under_load{};
 
     friend bool operator==(const router_evidence&, const router_evidence&) = default;
 };
@@ -96,7 +96,7 @@
     double sample_fraction = 0.505;
 
     // Minimum fraction of the order's time for which the sample is monitored before all traffic
-    // moves, when no endpoint is filled.
+    // moves, if no endpoint is filled.
     double min_sample_fraction = 0.06;
 
     // Requests of the sample per second in the whole fleet, and the maximum share of the sessions
@@ -118,11 +118,11 @@
     decision::duration min_fill_time = std::chrono::seconds(1);
     double min_load_per_slot = 0.5; // below this the trial proves nothing
 
-    // Runs that must start or fail while the endpoint's load is at `loaded_level` or above: to end
-    // the trial early, and for the trial to be conclusive at its end. Requests that the endpoint
-    // has queued but not read do not count as load, since they wait for their prompts to be read.
-    // If a version fails a third of its answers under load, the smaller number misses it once in
-    // twenty-five times.
+    // Runs that must start or fail while the endpoint's load is at `loaded_level` or above: the
+    // number that ends the trial early, and the minimum for the trial to be conclusive at its end.
+    // Requests that the endpoint has queued but not read do not count as load, since they wait for
+    // their prompts to be read. If a version fails a third of its answers under load, the smaller
+    // number misses it one time in twenty-five.
     std::uint64_t early_end_loaded_runs = 16;
     std::uint64_t min_loaded_runs = 8;
     std::size_t loaded_level = decision::load_levels / 2;
@@ -154,9 +154,9 @@
     double base_error_rate = 0.03; // of a good version
     double max_error_rate = 0.15;  // of a bad one
 
-    // Shares of slow answers, judged by the token rate of streams or the duration of complete
-    // answers. A good version starts with cold caches, which shows more when all traffic arrives at
-    // once.
+    // Shares of slow answers of a good and of a bad version, judged by the token rate of streams or
+    // the duration of complete answers. A good version starts with cold caches, which shows more
+    // when all traffic arrives at once.
     double base_slow_rate = 0.25;
     double max_slow_rate = 0.6;
     double base_slow_rate_full_traffic = 0.38;
--- a/coordination/src/rollout_progress.cpp
+++ b/coordination/src/rollout_progress.cpp
@@ -45,9 +45,9 @@
     : settings(std::move(chosen)), ordered(std::move(order)), began(now), step_began(now)
 {}
 
-decision::duration rollout_progress::order_fraction(double share) const
+decision::duration rollout_progress::order_fraction(double fraction) const
 {
-    return std::chrono::duration_cast<decision::duration>(this->ordered.time * share);
+    return std::chrono::duration_cast<decision::duration>(this->ordered.time * fraction);
 }
 
 void rollout_progress::on_record(const std::optional<progress_record>& record,
--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -227,15 +227,15 @@
     void run_engines()
     {
         for (auto& [address, engine] : this->engines) {
-            std::vector<engine_run> left;
+            std::vector<engine_run> remaining;
             for (const auto& run : std::exchange(engine.running, {})) {
                 if (run.ends <= this->now) {
                     this->end(run.router, run.attempt, attempt_result::finished);
                 } else {
-                    left.push_back(run);
+                    remaining.push_back(run);
                 }
             }
-            engine.running = std::move(left);
+            engine.running = std::move(remaining);
             while (engine.running.size() < slots && !engine.waiting.empty()) {
                 auto run = engine.waiting.front();
                 engine.waiting.pop_front();
