--- a/coordination/test/once_claims_test.cpp
+++ b/coordination/test/once_claims_test.cpp
@@ -226,8 +226,8 @@
 }
 
 // Two routers and one key: sends, resends, lost and late replies, writes that are committed late,
-// and routers that presume each other dead. At most one dispatch happens unless its router has
-// closed the claim as `not_run`.
+// and routers that presume each other dead. A dispatch that its router does not close as `not_run`
+// remains the only one.
 TEST(once_claims_test, no_sequence_of_faults_lets_a_request_run_twice)
 {
     const bool holds = rc::check("at most one run", [] {
--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -195,8 +195,8 @@
     void apply_actions(std::size_t router)
     {
         for (const auto& action : this->routers[router]->take_actions()) {
-            if (const auto* begun = std::get_if<start_attempt>(&action)) {
-                this->send(router, *begun);
+            if (const auto* started = std::get_if<start_attempt>(&action)) {
+                this->send(router, *started);
             } else if (std::holds_alternative<give_up_request>(action)) {
                 ++this->refused;
             }
