--- a/coordination/src/lease_holder.cpp
+++ b/coordination/src/lease_holder.cpp
@@ -42,19 +42,19 @@
     } else if (this->step == phase::checking) {
         this->call(phase::checking, kv_get{this->key}, now);
     } else if (this->is_candidate) {
-        this->call(phase::looking, kv_get{this->key}, now);
+        this->call(phase::polling, kv_get{this->key}, now);
     }
 }
 
 void lease_holder::on_reply(call_tag tag, const kv_reply& reply, instant now)
 {
     if (this->open_call != tag) {
-        return; // of a lease that was given up
+        return; // belongs to a lease that was given up
     }
     this->open_call.reset();
     switch (this->step) {
-    case phase::looking:
-        this->on_looked(reply, now);
+    case phase::polling:
+        this->on_polled(reply, now);
         break;
     case phase::granting:
         this->on_granted(reply, now);
@@ -90,10 +90,11 @@
     this->actions.emplace_back(store_call{*this->open_call, std::move(request)});
 }
 
-// Candidates that saw the duty free at the same time try it one after the other.
-duration lease_holder::spread()
+// A random delay, so that candidates that find the duty available at the same time do not all try
+// to take it at once.
+duration lease_holder::jitter()
 {
-    const auto period = static_cast<std::uint64_t>(this->settings.look_period.count());
+    const auto period = static_cast<std::uint64_t>(this->settings.poll_period.count());
     return duration(next_random(this->random) % period);
 }
 
@@ -109,20 +110,20 @@
     return record;
 }
 
-void lease_holder::on_looked(const kv_reply& reply, instant now)
+void lease_holder::on_polled(const kv_reply& reply, instant now)
 {
     if (reply.outcome == kv_outcome::not_found) {
         this->call(phase::granting, kv_grant_lease{this->settings.time_to_live}, now);
         return;
     }
-    this->due = now + this->settings.look_period / 2 + this->spread();
+    this->due = now + this->settings.poll_period / 2 + this->jitter();
 }
 
 void lease_holder::on_granted(const kv_reply& reply, instant now)
 {
     if (reply.outcome != kv_outcome::ok) {
-        this->step = phase::looking;
-        this->due = now + this->settings.retry + this->spread();
+        this->step = phase::polling;
+        this->due = now + this->settings.retry + this->jitter();
         return;
     }
     this->lease = reply.lease;
@@ -140,17 +141,19 @@
 {
     if (reply.outcome == kv_outcome::ok) {
         this->take(reply.revision, now);
-    } else if (reply.outcome == kv_outcome::not_found) { // the lease has ended meanwhile
+    } else if (reply.outcome == kv_outcome::not_found) { // the lease has expired
         this->give_up(now);
     } else {
-        // Also after a conflict: the key may be there by an earlier try whose reply was lost.
+        // Also after a conflict: the key may have been created by an earlier attempt whose reply
+        // was lost.
         this->step = phase::checking;
         this->due = now + (has_no_answer(reply) ? this->settings.retry : duration{});
         this->on_tick(now);
     }
 }
 
-// A creation with an open outcome is tried again under the same lease: only one can take effect.
+// A creation with an unknown outcome is retried under the same lease, so at most one attempt can
+// take effect.
 void lease_holder::on_checked(const kv_reply& reply, instant now)
 {
     if (has_no_answer(reply)) {
@@ -193,7 +196,7 @@
     }
 }
 
-// What the lease still holds goes with it; a reply that is still open is not looked at.
+// Revoking the lease deletes the key, if it exists. A reply that is still pending is ignored.
 void lease_holder::give_up(instant now)
 {
     if (this->taken) {
@@ -206,8 +209,8 @@
     }
     this->lease = 0;
     this->open_call.reset();
-    this->step = phase::looking;
-    this->due = now + this->settings.look_period / 2 + this->spread();
+    this->step = phase::polling;
+    this->due = now + this->settings.poll_period / 2 + this->jitter();
 }
 
 } // namespace pearhaven::coordination
