--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -109,7 +109,7 @@
             settings.seed = i + 1;
             settings.endpoints.router_seed = i + 1;
             auto& router = *this->routers.emplace_back(std::make_unique<dispatcher>(settings));
-            router.on_touch(start + seconds(1000), start);
+            router.on_config_confirmed(start + seconds(1000), start);
             router.on_fleet(i, size);
             router.on_hosts(make_hosts(), start);
             router.on_configuration(make_configuration(plan), start);
@@ -182,7 +182,7 @@
             request.session_key = mix(this->arrived + 1'000'000);
             request.work = {work_class::lookup, 60.0, 14.0};
             request.sizes = 3;
-            request.on_loss = continuation::at_other_run;
+            request.on_loss = continuation::another_run;
             request.max_attempts = 3;
             request.deadline = this->now + seconds(25);
             request.fingerprint = request.ticket;
@@ -251,7 +251,7 @@
         for (std::size_t from = 0; from < this->routers.size(); ++from) {
             const auto& router = *this->routers[from];
             const auto sends = this->exchanges[from]->on_tick(
-                router.endpoints().own_loads(), {true, 1}, this->now, router.filling_loads());
+                router.endpoints().own_loads(), {true, 1}, this->now, router.concentrated_loads());
             for (const auto& send : sends) {
                 this->words.push_back({send.to.port, std::to_string(from),
                                        std::get<load_push>(send.message).loads,
@@ -261,7 +261,7 @@
         for (; !this->words.empty() && this->words.front().arrives <= this->now;
              this->words.pop_front()) {
             const auto& word = this->words.front();
-            this->routers[word.to]->on_loads_told(word.from, word.loads, this->now);
+            this->routers[word.to]->on_peer_loads(word.from, word.loads, this->now);
         }
     }
 
--- a/decision/include/pearhaven/decision/dispatcher.hpp
+++ b/decision/include/pearhaven/decision/dispatcher.hpp
@@ -43,7 +43,7 @@
     overloaded,
     deadline_passed,
     no_endpoint,
-    not_in_touch, // this router cannot tell whether its configuration is in force
+    config_unconfirmed, // this router cannot tell whether its configuration is in force
     request_quarantined,
     endpoint_failed,
     answer_broken, // part of the answer was delivered and the rest cannot be had
@@ -66,9 +66,9 @@
 
 // How a run goes on when its connection is lost.
 enum class continuation : std::uint8_t {
-    same_run,     // the endpoint keeps the run: a fresh connection takes it up again
-    none,         // the run is lost with its connection; what was delivered cannot be added to
-    at_other_run, // another endpoint can begin a run that goes on after what was delivered
+    same_run,    // the endpoint keeps the run: a fresh connection takes it up again
+    none,        // the run is lost with its connection; what was delivered cannot be added to
+    another_run, // another endpoint can begin a run that goes on after what was delivered
 };
 
 // A request as the dispatcher sees it. The text of the request stays with the caller's thread.
@@ -108,10 +108,11 @@
     bool answer_began =
         false; // on this connection: the endpoint is alive, however silent it is now
     bool answered_error = false; // the run ended with an error of the endpoint's own
-    bool answered_badly = false; // finished, but with an answer that says the endpoint failed
-    std::uint64_t tokens = 0;    // tokens of this run that have come so far
-    duration first_token{};      // zero where none came
-    double actual_work = 0.0;    // zero where it is not known
+    bool answer_reports_failure =
+        false;                // finished, but with an answer that says the endpoint failed
+    std::uint64_t tokens = 0; // tokens of this run that have come so far
+    duration first_token{};   // zero where none came
+    double actual_work = 0.0; // zero where it is not known
     friend bool operator==(const attempt_end&, const attempt_end&) = default;
 };
 
@@ -164,21 +165,22 @@
 };
 
 // Other routers should know how the request with this fingerprint stands.
-struct announce_standing {
+struct announce_suspect_status {
     std::uint64_t fingerprint = 0;
-    suspect_table::standing standing = suspect_table::standing::clear;
-    friend bool operator==(const announce_standing&, const announce_standing&) = default;
+    suspect_table::suspect_status suspect_status = suspect_table::suspect_status::clear;
+    friend bool operator==(const announce_suspect_status&,
+                           const announce_suspect_status&) = default;
 };
 
 using dispatch_action =
     std::variant<start_attempt, resume_attempt, cancel_attempt, complete_request, give_up_request,
-                 announce_leaving, announce_standing>;
+                 announce_leaving, announce_suspect_status>;
 
 struct dispatcher_settings {
     endpoint_table_settings endpoints;
     fair_queue_settings queue;
-    duration longest_queue_wait = std::chrono::seconds(30);
-    duration out_of_touch_patience = std::chrono::seconds(1); // queued work is given up after that
+    duration max_queue_wait = std::chrono::seconds(30);
+    duration config_expiry_grace = std::chrono::seconds(1); // queued work is given up after that
     double retry_share = 0.1;            // retries that each finished request pays for
     double retry_share_on_arrival = 0.0; // retries that each admitted request pays for
     double retry_burst = 20.0;           // retries allowed beyond those shares, for one router
@@ -235,19 +237,20 @@
     bool on_load_report(const std::string& address, const load_report& report, instant now);
 
     // Another router says what it holds at the endpoints.
-    void on_loads_told(const std::string& router, std::vector<endpoint_load> loads, instant now);
+    void on_peer_loads(const std::string& router, std::vector<endpoint_load> loads, instant now);
 
     // Another router or the endpoint itself says that the endpoint is leaving.
     void on_endpoint_leaving(const std::string& address, std::uint64_t incarnation, instant now);
-    void on_standing_told(std::uint64_t fingerprint, suspect_table::standing standing, instant now);
+    void on_peer_suspect_status(std::uint64_t fingerprint,
+                                suspect_table::suspect_status suspect_status, instant now);
 
     // Another router's evidence has tripped this attempt at rolling the version out.
-    void on_trip_told(const std::string& version, std::uint64_t run, instant now);
+    void on_peer_trip(const std::string& version, std::uint64_t run, instant now);
 
     // Until when this router may take its configuration for the one in force. A time and not a yes
     // or no: a process that was paused finds on waking that it has passed, before it hears
     // anything.
-    void on_touch(instant until, instant now);
+    void on_config_confirmed(instant until, instant now);
 
     // This router's place among all live routers, which all count alike.
     void on_fleet(std::size_t rank, std::size_t size);
@@ -270,12 +273,12 @@
     // How long an endpoint may be silent before its answer to the request begins, where another one
     // may be asked: this part of the objective, and in any case well over the time by which nine of
     // ten answers of the kind began. Zero for a request without an objective.
-    [[nodiscard]] duration patience_before_answer(const arrival& request,
+    [[nodiscard]] duration first_response_timeout(const arrival& request,
                                                   double part_of_objective) const;
 
     // Whether the request would get another attempt if its present one were given up now. If not,
     // waiting on is its only hope: so it is, too, once the operator has removed what it asks for.
-    [[nodiscard]] bool may_move(ticket_number ticket, instant now) const;
+    [[nodiscard]] bool can_retry(ticket_number ticket, instant now) const;
     void on_caller_gone(ticket_number ticket, instant now);
 
     // The router will stop. Until the last admission it takes what it can carry to its end, as far
@@ -294,7 +297,7 @@
     [[nodiscard]] std::vector<dispatch_action> take_actions();
 
     // What this router holds at endpoints that it helps to fill. Without the parts of the prompts.
-    [[nodiscard]] std::vector<endpoint_load> filling_loads() const;
+    [[nodiscard]] std::vector<endpoint_load> concentrated_loads() const;
     [[nodiscard]] std::size_t in_flight() const { return this->requests.size(); }
     [[nodiscard]] std::size_t queued() const { return this->queue.size(); }
     [[nodiscard]] const endpoint_table& endpoints() const { return this->table; }
@@ -416,7 +419,7 @@
     void give_up_overdue(instant now, instant heard_until);
     void give_up(ticket_number ticket, failure why);
     void forget(ticket_number ticket);
-    void publish_standings();
+    void publish_suspect_statuses();
     std::uint64_t next_random();
 
     dispatcher_settings settings;
--- a/decision/include/pearhaven/decision/retry_budget.hpp
+++ b/decision/include/pearhaven/decision/retry_budget.hpp
@@ -51,8 +51,8 @@
 
 // The part of the fleet's burst that the router of the rank holds, `most` at most. Where there are
 // more routers than whole retries, some hold one and the others none: a part of a retry is none.
-[[nodiscard]] double part_of_burst(double fleets_burst, double most, std::size_t rank,
-                                   std::size_t size);
+[[nodiscard]] double router_share_of_burst(double fleets_burst, double most, std::size_t rank,
+                                           std::size_t size);
 
 } // namespace pearhaven::decision
 
--- a/decision/include/pearhaven/decision/rollout_exposure.hpp
+++ b/decision/include/pearhaven/decision/rollout_exposure.hpp
@@ -81,7 +81,7 @@
     void on_speed(const std::string& version, bool slow);
 
     // Another router's evidence has tripped this attempt at rolling the version out.
-    void on_trip_told(const std::string& version, std::uint64_t run);
+    void on_peer_trip(const std::string& version, std::uint64_t run);
 
     // Whether the version is the new one of a roll-out.
     [[nodiscard]] bool watches(const std::string& version) const;
@@ -110,8 +110,8 @@
 
     void take_up(tracked& known, const rollout& plan, std::uint64_t before);
     [[nodiscard]] bool is_tripped(const tracked& known) const;
-    [[nodiscard]] bool may_move(const tracked& known, const rollout_note& note,
-                                const version_question& question) const;
+    [[nodiscard]] bool can_retry(const tracked& known, const rollout_note& note,
+                                 const version_question& question) const;
     [[nodiscard]] const tracked* find_move(const std::string& from, const rollout_note& note,
                                            const version_question& question) const;
     void test(tracked& known, bool good) const;
--- a/decision/include/pearhaven/decision/suspects.hpp
+++ b/decision/include/pearhaven/decision/suspects.hpp
@@ -31,14 +31,14 @@
 // endpoint that runs a suspect crashes for another reason. One thread uses a table at a time.
 class suspect_table {
 public:
-    enum class standing : std::uint8_t { clear, suspect, quarantined };
+    enum class suspect_status : std::uint8_t { clear, suspect, quarantined };
 
     explicit suspect_table(suspect_settings settings = {});
     suspect_table(const suspect_table&) = delete;
     suspect_table& operator=(const suspect_table&) = delete;
     ~suspect_table();
 
-    [[nodiscard]] standing look(std::uint64_t fingerprint, instant now) const;
+    [[nodiscard]] suspect_status look(std::uint64_t fingerprint, instant now) const;
 
     // An endpoint crashed while these ran on it. Returns those that are newly quarantined.
     std::vector<std::uint64_t> on_crash(const std::vector<std::uint64_t>& in_flight, instant now);
@@ -47,10 +47,10 @@
     void on_finished(std::uint64_t fingerprint, instant now);
 
     // Another router's news.
-    void learn(std::uint64_t fingerprint, standing told, instant now);
+    void learn(std::uint64_t fingerprint, suspect_status told, instant now);
 
     // What changed here since the last call, for the other routers.
-    std::vector<std::pair<std::uint64_t, standing>> take_news();
+    std::vector<std::pair<std::uint64_t, suspect_status>> take_changes();
 
     [[nodiscard]] std::size_t size() const;
 
--- a/decision/include/pearhaven/decision/work.hpp
+++ b/decision/include/pearhaven/decision/work.hpp
@@ -16,7 +16,7 @@
 struct work_estimate {
     work_class kind = work_class::lookup;
     double tokens = 0.0;
-    double reading = 0.0; // of `tokens`, what is done once the answer begins; zero where unknown
+    double prefill = 0.0; // of `tokens`, what is done once the answer begins; zero where unknown
 
     friend bool operator==(const work_estimate&, const work_estimate&) = default;
 };
--- a/decision/src/dispatcher.cpp
+++ b/decision/src/dispatcher.cpp
@@ -32,7 +32,7 @@
 bool fills_endpoint(const arrival& request)
 {
     return request.streamed && !request.is_service && !request.long_prompt &&
-           request.on_loss == continuation::at_other_run;
+           request.on_loss == continuation::another_run;
 }
 
 } // namespace
@@ -82,7 +82,7 @@
     return true;
 }
 
-void dispatcher::on_loads_told(const std::string& router, std::vector<endpoint_load> loads,
+void dispatcher::on_peer_loads(const std::string& router, std::vector<endpoint_load> loads,
                                instant now)
 {
     this->table.told(router, std::move(loads), now);
@@ -94,19 +94,19 @@
     this->table.mark_leaving(address, incarnation, now);
 }
 
-void dispatcher::on_standing_told(std::uint64_t fingerprint, suspect_table::standing standing,
-                                  instant now)
+void dispatcher::on_peer_suspect_status(std::uint64_t fingerprint,
+                                        suspect_table::suspect_status suspect_status, instant now)
 {
-    this->suspects.learn(fingerprint, standing, now);
+    this->suspects.learn(fingerprint, suspect_status, now);
 }
 
-void dispatcher::on_trip_told(const std::string& version, std::uint64_t run, instant now)
+void dispatcher::on_peer_trip(const std::string& version, std::uint64_t run, instant now)
 {
-    this->exposure.on_trip_told(version, run);
+    this->exposure.on_peer_trip(version, run);
     this->dispatch(now);
 }
 
-void dispatcher::on_touch(instant until, instant now)
+void dispatcher::on_config_confirmed(instant until, instant now)
 {
     this->in_touch_until = until;
     this->dispatch(now);
@@ -114,7 +114,7 @@
 
 bool dispatcher::is_long_out_of_touch(instant now) const
 {
-    return now - this->in_touch_until > this->settings.out_of_touch_patience;
+    return now - this->in_touch_until > this->settings.config_expiry_grace;
 }
 
 void dispatcher::on_fleet(std::size_t rank, std::size_t size)
@@ -155,7 +155,8 @@
 
 bool dispatcher::is_suspect(const request_state& state, instant now) const
 {
-    return this->suspects.look(state.what.fingerprint, now) == suspect_table::standing::suspect;
+    return this->suspects.look(state.what.fingerprint, now) ==
+           suspect_table::suspect_status::suspect;
 }
 
 placement dispatcher::place(const request_state& state, const std::string& target,
@@ -166,7 +167,7 @@
     wanted.is_service = state.what.is_service;
     wanted.kind = state.what.work.kind;
     wanted.work = this->work_of(state);
-    wanted.reading = state.what.work.reading * this->size_factor(state);
+    wanted.reading = state.what.work.prefill * this->size_factor(state);
     wanted.parts = this->parts_of(state);
     // Models share no cache, and so need not share endpoints.
     wanted.prefix_hash = wanted.parts.empty() ? state.what.prefix_hash : wanted.parts.back().key;
@@ -195,7 +196,7 @@
     return !state.address.empty() && this->table.incarnation_of(state.address) == state.incarnation;
 }
 
-std::vector<endpoint_load> dispatcher::filling_loads() const
+std::vector<endpoint_load> dispatcher::concentrated_loads() const
 {
     std::set<std::string> filled;
     for (const auto& [ticket, state] : this->requests) {
@@ -358,7 +359,7 @@
     state.incarnation = this->table.incarnation_of(where.address);
     state.parts = this->parts_of(state);
     const double cold = this->table.cold_work_at(where.address, state.parts, now);
-    state.reading = request.work.reading * this->size_factor(state) + cold;
+    state.reading = request.work.prefill * this->size_factor(state) + cold;
     state.held_work = this->work_of(state) + cold;
     this->table.started(where.address, request.work.kind, state.held_work, state.parts, now);
     this->actions.emplace_back(
@@ -487,7 +488,7 @@
                        "the deadline passed while the request was queued"});
     }
     if (this->is_long_out_of_touch(now)) {
-        this->give_up_all_queued(passing(failure_code::not_in_touch, soon,
+        this->give_up_all_queued(passing(failure_code::config_unconfirmed, soon,
                                          "the configuration in force cannot be confirmed"));
     }
     this->give_up_overdue(now, heard_until);
@@ -601,10 +602,10 @@
     this->requests.erase(found);
 }
 
-void dispatcher::publish_standings()
+void dispatcher::publish_suspect_statuses()
 {
-    for (const auto& [fingerprint, standing] : this->suspects.take_news()) {
-        this->actions.emplace_back(announce_standing{fingerprint, standing});
+    for (const auto& [fingerprint, suspect_status] : this->suspects.take_changes()) {
+        this->actions.emplace_back(announce_suspect_status{fingerprint, suspect_status});
     }
 }
 
--- a/decision/src/dispatcher_admission.cpp
+++ b/decision/src/dispatcher_admission.cpp
@@ -45,10 +45,10 @@
         return refused;
     }
     if (!this->config) {
-        return passing(failure_code::not_in_touch, soon, "no configuration has come yet");
+        return passing(failure_code::config_unconfirmed, soon, "no configuration has come yet");
     }
     if (this->is_long_out_of_touch(now)) {
-        return passing(failure_code::not_in_touch, soon,
+        return passing(failure_code::config_unconfirmed, soon,
                        "the configuration in force cannot be confirmed");
     }
     request_state probe;
@@ -72,7 +72,7 @@
     if (now >= this->stop->last_admission) {
         return passing(failure_code::stopping, soon, "this router is stopping");
     }
-    if (request.on_loss == continuation::at_other_run) {
+    if (request.on_loss == continuation::another_run) {
         return std::nullopt;
     }
     const auto length = this->lengths.usual(kind_of(request));
@@ -100,7 +100,7 @@
     // Work that cannot start before its deadline is refused now: queueing it would only delay the
     // refusal, and its place would be taken from work that can still be done.
     const auto wait = this->expected_wait();
-    if (now + wait > request.deadline || wait > this->settings.longest_queue_wait) {
+    if (now + wait > request.deadline || wait > this->settings.max_queue_wait) {
         return passing(failure_code::overloaded, wait,
                        "the work queued ahead takes longer than the deadline");
     }
@@ -159,7 +159,8 @@
         return refused;
     }
     const auto& owner = this->config->teams().at(request.team);
-    if (this->suspects.look(request.fingerprint, now) == suspect_table::standing::quarantined) {
+    if (this->suspects.look(request.fingerprint, now) ==
+        suspect_table::suspect_status::quarantined) {
         return lasting(failure_code::request_quarantined,
                        "endpoints that ran this request have crashed");
     }
--- a/decision/src/dispatcher_attempts.cpp
+++ b/decision/src/dispatcher_attempts.cpp
@@ -59,7 +59,7 @@
         this->forget(end.ticket);
         break;
     }
-    this->publish_standings();
+    this->publish_suspect_statuses();
     this->dispatch(now);
 }
 
@@ -70,13 +70,13 @@
     this->count_end(state, end.result, end.first_token, now);
     this->queue.settle(request.team, request.work.tokens, work);
     this->budget_of(request).on_success();
-    if (!end.answered_badly) {
+    if (!end.answer_reports_failure) {
         this->lengths.learn(kind_of(request), now - state.arrived);
     }
     this->suspects.on_finished(request.fingerprint, now);
     if (!request.is_service) {
-        this->exposure.on_end(state.version, !end.answered_badly);
-        if (end.answered_badly) {
+        this->exposure.on_end(state.version, !end.answer_reports_failure);
+        if (end.answer_reports_failure) {
             this->note_loaded_run(state, false);
         }
     }
@@ -223,7 +223,7 @@
     }
     // Two runs of one request give two answers; a stream that has begun must not go on with the
     // other.
-    if (state.delivered && request.on_loss != continuation::at_other_run) {
+    if (state.delivered && request.on_loss != continuation::another_run) {
         this->give_up(ticket,
                       {failure_code::answer_broken, run_state::unknown, true, duration::zero(),
                        "the endpoint was lost in the middle of the answer"});
@@ -258,13 +258,13 @@
         return this->settings.retry_burst;
     }
     const auto place = (this->fleet_rank + fingerprint("", asked, "")) % this->fleet_size;
-    return part_of_burst(all, this->settings.retry_burst, place, this->fleet_size);
+    return router_share_of_burst(all, this->settings.retry_burst, place, this->fleet_size);
 }
 
 // Where prompts are long or endpoints busy the objective alone is no measure of what is lost: runs
 // that would have begun are given up, begun anew at the next endpoint, and given up there. What is
 // usual for the kind of request bounds it from below.
-duration dispatcher::patience_before_answer(const arrival& request, double part_of_objective) const
+duration dispatcher::first_response_timeout(const arrival& request, double part_of_objective) const
 {
     if (request.objective <= duration::zero()) {
         return duration::zero();
@@ -288,7 +288,7 @@
     return now + std::max(length, least_run_time) <= this->stop->end;
 }
 
-bool dispatcher::may_move(ticket_number ticket, instant now) const
+bool dispatcher::can_retry(ticket_number ticket, instant now) const
 {
     const auto found = this->requests.find(ticket);
     if (found == this->requests.end()) {
--- a/decision/src/retry_budget.cpp
+++ b/decision/src/retry_budget.cpp
@@ -87,7 +87,7 @@
     this->paid_since = now;
 }
 
-double part_of_burst(double fleets_burst, double most, std::size_t rank, std::size_t size)
+double router_share_of_burst(double fleets_burst, double most, std::size_t rank, std::size_t size)
 {
     const double part = fleets_burst / static_cast<double>(size);
     if (part >= 1.0) {
--- a/decision/src/rollout_exposure.cpp
+++ b/decision/src/rollout_exposure.cpp
@@ -106,8 +106,8 @@
     return known.tripped_here || (told != this->told_trips.end() && told->second == known.plan.run);
 }
 
-bool rollout_exposure::may_move(const tracked& known, const rollout_note& note,
-                                const version_question& question) const
+bool rollout_exposure::can_retry(const tracked& known, const rollout_note& note,
+                                 const version_question& question) const
 {
     const auto session_key = question.session_key;
     const auto& plan = known.plan;
@@ -146,7 +146,7 @@
                                                              const version_question& question) const
 {
     for (const auto& [name, known] : this->rollouts) {
-        if (known.plan.from == from && this->may_move(known, note, question)) {
+        if (known.plan.from == from && this->can_retry(known, note, question)) {
             return &known;
         }
     }
@@ -235,7 +235,7 @@
     known.tripped_here = known.tripped_here || rejected || known.watch.is_tripped();
 }
 
-void rollout_exposure::on_trip_told(const std::string& version, std::uint64_t run)
+void rollout_exposure::on_peer_trip(const std::string& version, std::uint64_t run)
 {
     auto& told = this->told_trips[version];
     told = std::max(told, run);
--- a/decision/src/suspects.cpp
+++ b/decision/src/suspects.cpp
@@ -37,28 +37,30 @@
 public:
     explicit state(suspect_settings bounds) : settings(bounds) {}
 
-    [[nodiscard]] standing look(std::uint64_t fingerprint, instant now) const;
-    void put(std::uint64_t fingerprint, standing held, instant now);
+    [[nodiscard]] suspect_status look(std::uint64_t fingerprint, instant now) const;
+    void put(std::uint64_t fingerprint, suspect_status held, instant now);
     void erase(std::uint64_t fingerprint);
-    void tell(std::uint64_t fingerprint, standing held);
+    void tell(std::uint64_t fingerprint, suspect_status held);
 
     suspect_settings settings;
-    std::unordered_map<std::uint64_t, std::pair<standing, instant>> records; // with their expiry
+    std::unordered_map<std::uint64_t, std::pair<suspect_status, instant>>
+        records; // with their expiry
     std::set<std::pair<instant, std::uint64_t>> by_expiry;
-    std::vector<std::pair<std::uint64_t, standing>> news;
+    std::vector<std::pair<std::uint64_t, suspect_status>> news;
 };
 
-suspect_table::standing suspect_table::state::look(std::uint64_t fingerprint, instant now) const
+suspect_table::suspect_status suspect_table::state::look(std::uint64_t fingerprint,
+                                                         instant now) const
 {
     const auto found = this->records.find(fingerprint);
     const bool holds = found != this->records.end() && now < found->second.second;
-    return holds ? found->second.first : standing::clear;
+    return holds ? found->second.first : suspect_status::clear;
 }
 
-void suspect_table::state::put(std::uint64_t fingerprint, standing held, instant now)
+void suspect_table::state::put(std::uint64_t fingerprint, suspect_status held, instant now)
 {
     this->erase(fingerprint);
-    const bool quarantined = held == standing::quarantined;
+    const bool quarantined = held == suspect_status::quarantined;
     const instant until =
         now + (quarantined ? this->settings.quarantine : this->settings.suspicion);
     this->records.emplace(fingerprint, std::make_pair(held, until));
@@ -79,7 +81,7 @@
     }
 }
 
-void suspect_table::state::tell(std::uint64_t fingerprint, standing held)
+void suspect_table::state::tell(std::uint64_t fingerprint, suspect_status held)
 {
     if (this->news.size() < this->settings.max_entries) {
         this->news.emplace_back(fingerprint, held);
@@ -92,7 +94,7 @@
 
 suspect_table::~suspect_table() = default;
 
-suspect_table::standing suspect_table::look(std::uint64_t fingerprint, instant now) const
+suspect_table::suspect_status suspect_table::look(std::uint64_t fingerprint, instant now) const
 {
     return this->inner->look(fingerprint, now);
 }
@@ -104,13 +106,13 @@
     const std::set<std::uint64_t> struck(in_flight.begin(), in_flight.end());
     std::vector<std::uint64_t> suspects;
     for (const std::uint64_t name : struck) {
-        const standing before = this->look(name, now);
-        if (before == standing::suspect) {
+        const suspect_status before = this->look(name, now);
+        if (before == suspect_status::suspect) {
             suspects.push_back(name);
         }
-        if (before == standing::clear) {
-            this->inner->put(name, standing::suspect, now);
-            this->inner->tell(name, standing::suspect);
+        if (before == suspect_status::clear) {
+            this->inner->put(name, suspect_status::suspect, now);
+            this->inner->tell(name, suspect_status::suspect);
         }
     }
     // Two suspects on one endpoint, as when another router's news came too late to keep them apart:
@@ -118,33 +120,33 @@
     if (suspects.size() != 1) {
         return {};
     }
-    this->inner->put(suspects.front(), standing::quarantined, now);
-    this->inner->tell(suspects.front(), standing::quarantined);
+    this->inner->put(suspects.front(), suspect_status::quarantined, now);
+    this->inner->tell(suspects.front(), suspect_status::quarantined);
     return suspects;
 }
 
 void suspect_table::on_finished(std::uint64_t fingerprint, instant now)
 {
-    if (this->look(fingerprint, now) == standing::suspect) {
+    if (this->look(fingerprint, now) == suspect_status::suspect) {
         this->inner->erase(fingerprint);
-        this->inner->tell(fingerprint, standing::clear);
+        this->inner->tell(fingerprint, suspect_status::clear);
     }
 }
 
-void suspect_table::learn(std::uint64_t fingerprint, standing told, instant now)
+void suspect_table::learn(std::uint64_t fingerprint, suspect_status told, instant now)
 {
     // News may come late and out of order; none lifts a quarantine.
-    if (this->look(fingerprint, now) == standing::quarantined) {
+    if (this->look(fingerprint, now) == suspect_status::quarantined) {
         return;
     }
-    if (told == standing::clear) {
+    if (told == suspect_status::clear) {
         this->inner->erase(fingerprint);
         return;
     }
     this->inner->put(fingerprint, told, now);
 }
 
-std::vector<std::pair<std::uint64_t, suspect_table::standing>> suspect_table::take_news()
+std::vector<std::pair<std::uint64_t, suspect_table::suspect_status>> suspect_table::take_changes()
 {
     return std::exchange(this->inner->news, {});
 }
--- a/decision/test/changed_dispatch_test.cpp
+++ b/decision/test/changed_dispatch_test.cpp
@@ -84,7 +84,7 @@
     request.work = {work_class::lookup, 100.0};
     request.deadline = now + seconds(10);
     request.fingerprint = ticket;
-    request.on_loss = continuation::at_other_run;
+    request.on_loss = continuation::another_run;
     request.max_attempts = 3;
     request.sizes = 3;
     return request;
@@ -127,7 +127,7 @@
         this->router = std::make_unique<dispatcher>(settings);
         this->router->on_configuration(make_configuration(this->operators), now);
         this->router->on_hosts(make_hosts(), now);
-        this->router->on_touch(instant::max(), now);
+        this->router->on_config_confirmed(instant::max(), now);
         static_cast<void>(this->router->take_actions());
     }
 
@@ -359,14 +359,14 @@
 TEST(changed_dispatch, a_silent_run_is_waited_for_when_no_other_may_begin)
 {
     this->start_of(make_request(1));
-    CHECK_TRUE(this->router->may_move(1, now));
+    CHECK_TRUE(this->router->can_retry(1, now));
     this->operators.has_version = false;
     this->change();
-    CHECK_FALSE(this->router->may_move(1, now));
+    CHECK_FALSE(this->router->can_retry(1, now));
     this->operators.has_version = true;
     this->operators.has_team = false;
     this->change();
-    CHECK_FALSE(this->router->may_move(1, now));
+    CHECK_FALSE(this->router->can_retry(1, now));
 }
 
 // A schedule of requests that come, end in all ways and wait, while the operator takes away and
--- a/decision/test/dispatcher_test.cpp
+++ b/decision/test/dispatcher_test.cpp
@@ -95,7 +95,7 @@
         auto made = std::make_unique<dispatcher>(dispatcher_settings{});
         made->on_configuration(make_configuration(current), now);
         made->on_hosts(make_hosts(current), now);
-        made->on_touch(now + std::chrono::hours(1), now);
+        made->on_config_confirmed(now + std::chrono::hours(1), now);
         static_cast<void>(made->take_actions());
         return made;
     }
@@ -327,12 +327,12 @@
 TEST(dispatcher_test, without_touch_nothing_new_starts_and_waiting_work_is_given_up_soon)
 {
     const auto router = this->make();
-    router->on_touch(now, now);
+    router->on_config_confirmed(now, now);
     router->on_arrival(this->request(1), now);
     LONGS_EQUAL(0, pick<start_attempt>(router->take_actions()).size());
     router->on_tick(now + milliseconds(1100));
     const auto why = only_failure(*router);
-    CHECK_TRUE(why.code == failure_code::not_in_touch);
+    CHECK_TRUE(why.code == failure_code::config_unconfirmed);
     CHECK_TRUE(why.run == run_state::not_run);
 }
 
@@ -341,7 +341,7 @@
 TEST(dispatcher_test, knowledge_that_ran_out_during_a_pause_starts_nothing)
 {
     const auto router = this->make();
-    router->on_touch(now + seconds(3), now);
+    router->on_config_confirmed(now + seconds(3), now);
     now += seconds(4);
     router->on_arrival(this->request(1), now);
     LONGS_EQUAL(0, pick<start_attempt>(router->take_actions()).size());
@@ -485,7 +485,7 @@
     auto end = ended(first, attempt_result::failed);
     end.run_lost = true;
     router->on_attempt_end(end, now);
-    const auto told = pick<announce_standing>(router->take_actions());
+    const auto told = pick<announce_suspect_status>(router->take_actions());
     LONGS_EQUAL(1, told.size());
     CHECK_EQUAL(this->request(1).fingerprint, told[0].fingerprint);
 }
@@ -580,7 +580,8 @@
         const auto router = this->make();
         router->on_fleet(rank, 2);
         for (ticket_number ticket = 1; ticket <= 3; ++ticket) {
-            router->on_standing_told(1000 + ticket, suspect_table::standing::suspect, now);
+            router->on_peer_suspect_status(1000 + ticket, suspect_table::suspect_status::suspect,
+                                           now);
             router->on_arrival(this->request(ticket), now);
         }
         for (const auto& start : pick<start_attempt>(router->take_actions())) {
@@ -605,7 +606,7 @@
         dispatcher router{dispatcher_settings{}};
         router.on_configuration(make_configuration(here), clock);
         router.on_hosts(make_hosts(here), clock);
-        router.on_touch(clock + std::chrono::hours(1), clock);
+        router.on_config_confirmed(clock + std::chrono::hours(1), clock);
         bool in_touch = true;
         std::map<ticket_number, start_attempt> running;
         std::map<ticket_number, int> finals;
@@ -665,13 +666,13 @@
                 router.on_configuration(make_configuration(here), clock);
             } else if (step == 10) {
                 in_touch = !in_touch;
-                router.on_touch(in_touch ? clock + std::chrono::hours(1) : clock, clock);
+                router.on_config_confirmed(in_touch ? clock + std::chrono::hours(1) : clock, clock);
             }
             router.on_tick(clock);
             absorb();
         }
         in_touch = true;
-        router.on_touch(clock + std::chrono::hours(1), clock);
+        router.on_config_confirmed(clock + std::chrono::hours(1), clock);
         router.on_tick(clock + std::chrono::minutes(5));
         absorb();
         for (ticket_number ticket = 1; ticket < next; ++ticket) {
--- a/decision/test/retry_budget_test.cpp
+++ b/decision/test/retry_budget_test.cpp
@@ -25,7 +25,7 @@
 {
     std::vector<retry_budget> budgets;
     for (std::size_t rank = 0; rank < size; ++rank) {
-        budgets.emplace_back(0.0, part_of_burst(fleets_burst, routers_burst, rank, size));
+        budgets.emplace_back(0.0, router_share_of_burst(fleets_burst, routers_burst, rank, size));
     }
     return budgets;
 }
@@ -98,7 +98,7 @@
     for (std::size_t size = 1; size <= 2000; ++size) {
         double sum = 0.0;
         for (std::size_t rank = 0; rank < size; ++rank) {
-            const double part = part_of_burst(fleets_burst, routers_burst, rank, size);
+            const double part = router_share_of_burst(fleets_burst, routers_burst, rank, size);
             CHECK_TRUE(part == 0.0 || part >= 1.0); // with less no retry could ever be made
             sum += part;
         }
@@ -106,7 +106,7 @@
         const double size_alone = routers_burst * static_cast<double>(size);
         CHECK_TRUE(sum >= std::min(fleets_burst, size_alone) - 1e-6);
     }
-    DOUBLES_EQUAL(0.0, part_of_burst(0.9, routers_burst, 0, 5), 0.0);
+    DOUBLES_EQUAL(0.0, router_share_of_burst(0.9, routers_burst, 0, 5), 0.0);
 }
 
 // Requests come and are lost at routers, a few of which get most; now and then every router gets
--- a/decision/test/rollout_dispatch_test.cpp
+++ b/decision/test/rollout_dispatch_test.cpp
@@ -72,7 +72,7 @@
         const std::vector<endpoint_host> hosts = {{"10.0.0.1:80", "a", "osu", 1, false, tags},
                                                   {"10.0.0.2:80", "b", "osu", 1, false, tags},
                                                   {"10.0.0.3:80", "c", "osu", 1, false, tags}};
-        this->router.on_touch(this->now + seconds(1000), this->now);
+        this->router.on_config_confirmed(this->now + seconds(1000), this->now);
         this->router.on_fleet(0, 1);
         this->router.on_configuration(make_configuration({false, served}), this->now);
         this->router.on_configuration(make_configuration({true, served}), this->now);
@@ -89,7 +89,7 @@
         request.streamed = true;
         request.work.tokens = 10;
         request.sizes = 3;
-        request.on_loss = continuation::at_other_run;
+        request.on_loss = continuation::another_run;
         request.max_attempts = 3;
         request.deadline = this->now + seconds(60);
         request.fingerprint = request.ticket;
@@ -230,7 +230,7 @@
     router.on_configuration(make_configuration({true, "adjudicator", true}), now);
     const auto first = arrive_long();
     const auto slots = static_cast<std::uint32_t>(pool().slots_per_host);
-    router.on_loads_told("other", {{first.address, 2 * slots, 0.0, 1}}, now);
+    router.on_peer_loads("other", {{first.address, 2 * slots, 0.0, 1}}, now);
     const auto next = arrive_long();
     CHECK_TRUE(first.address != next.address);
     CHECK_EQUAL(std::string("adjudicator-2"), next.version);
@@ -274,9 +274,9 @@
     begin();
     router.on_configuration(make_configuration({true, "adjudicator", true}), now);
     const auto first = arrive_long();
-    router.on_loads_told("other", {{first.address, 70, 4'000.0, 1}}, now);
+    router.on_peer_loads("other", {{first.address, 70, 4'000.0, 1}}, now);
     now += seconds(1);
-    router.on_loads_told("other", {{first.address, 70, 4'000.0, 1}}, now);
+    router.on_peer_loads("other", {{first.address, 70, 4'000.0, 1}}, now);
     end(first, attempt_result::went_silent, false);
     LONGS_EQUAL(0, router.rollouts().at(0).seen.bad);
 }
@@ -391,9 +391,9 @@
     CHECK_TRUE(router.accepts_answer(first.ticket, first.attempt, 100.0, now));
     router.on_fleet(0, 2);
     const auto slots = static_cast<std::uint32_t>(pool().slots_per_host);
-    router.on_loads_told("other", {{first.address, slots, 0.0, 1, {}, slots / 2}}, now);
+    router.on_peer_loads("other", {{first.address, slots, 0.0, 1, {}, slots / 2}}, now);
     const auto second = arrive_long();
-    router.on_loads_told("other", {}, now);
+    router.on_peer_loads("other", {}, now);
     end(second, attempt_result::failed, true);
     const auto seen = router.rollouts().at(0).under_load;
     LONGS_EQUAL(1, seen.at(0).good);
--- a/decision/test/rollout_exposure_test.cpp
+++ b/decision/test/rollout_exposure_test.cpp
@@ -229,7 +229,7 @@
 TEST(rollout_exposure_test, a_trip_that_another_router_tells_holds_for_that_attempt_only)
 {
     router_model router;
-    router.exposure.on_trip_told("adjudicator-2", 7);
+    router.exposure.on_peer_trip("adjudicator-2", 7);
     router.see(make_plan(0));
     LONGS_EQUAL(0, router.send(100));
     auto anew = make_plan(0);
@@ -301,7 +301,7 @@
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
     router.note.fills_endpoint = true;
     CHECK_EQUAL(std::string("adjudicator-2"), router.ask().answer.version);
-    router.exposure.on_trip_told("adjudicator-2", 7);
+    router.exposure.on_peer_trip("adjudicator-2", 7);
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
 }
 
--- a/decision/test/routed_dispatch_test.cpp
+++ b/decision/test/routed_dispatch_test.cpp
@@ -51,7 +51,7 @@
     request.streamed = true;
     request.work = {work_class::lookup, 100.0};
     request.deadline = now + seconds(10);
-    request.on_loss = continuation::at_other_run;
+    request.on_loss = continuation::another_run;
     request.max_attempts = 3;
     request.sizes = 3;
     request.objective = seconds(3);
@@ -82,7 +82,7 @@
         this->router = std::make_unique<dispatcher>(this->settings);
         this->router->on_configuration(make_configuration(), now);
         this->router->on_hosts(make_hosts(), now);
-        this->router->on_touch(instant::max(), now);
+        this->router->on_config_confirmed(instant::max(), now);
     }
 
     // The attempt that the last event has started; its number is 0 where it has started none.
@@ -290,13 +290,13 @@
 {
     this->router->on_arrival(make_request(), now);
     auto start = this->last_start();
-    CHECK_TRUE(this->router->may_move(1, now));
+    CHECK_TRUE(this->router->can_retry(1, now));
     this->router->on_attempt_end(broken(start, 0), now);
     start = this->last_start();
     this->router->on_attempt_end(broken(start, 0), now);
     this->last_start();
-    CHECK_FALSE(this->router->may_move(1, now));
-    CHECK_FALSE(this->router->may_move(2, now));
+    CHECK_FALSE(this->router->can_retry(1, now));
+    CHECK_FALSE(this->router->can_retry(2, now));
 }
 
 TEST(routed_dispatch, a_draining_router_refuses_what_has_not_run)
@@ -359,7 +359,7 @@
 TEST(routed_dispatch, an_endpoint_is_waited_for_as_long_as_is_usual)
 {
     const auto request = make_request();
-    CHECK_TRUE(this->router->patience_before_answer(request, 0.6) == milliseconds(1800));
+    CHECK_TRUE(this->router->first_response_timeout(request, 0.6) == milliseconds(1800));
     for (ticket_number ticket = 1; ticket <= 8; ++ticket) {
         auto slow = make_request();
         slow.ticket = ticket;
@@ -368,10 +368,10 @@
         const auto start = this->last_start();
         CHECK_TRUE(this->router->accepts_answer(ticket, start.attempt, 100.0, now + seconds(2)));
     }
-    CHECK_TRUE(this->router->patience_before_answer(request, 0.6) == seconds(4));
+    CHECK_TRUE(this->router->first_response_timeout(request, 0.6) == seconds(4));
     auto open_ended = request;
     open_ended.objective = duration::zero();
-    CHECK_TRUE(this->router->patience_before_answer(open_ended, 0.6) == duration::zero());
+    CHECK_TRUE(this->router->first_response_timeout(open_ended, 0.6) == duration::zero());
 }
 
 // Near the end of a stop an endpoint falls silent. Its run used to be given up and the next one
@@ -381,8 +381,8 @@
     this->router->on_arrival(make_request(), now);
     this->last_start();
     this->router->begin_stop({now + seconds(2), now + seconds(7)});
-    CHECK_TRUE(this->router->may_move(1, now + seconds(5)));
-    CHECK_FALSE(this->router->may_move(1, now + seconds(6)));
+    CHECK_TRUE(this->router->can_retry(1, now + seconds(5)));
+    CHECK_FALSE(this->router->can_retry(1, now + seconds(6)));
 }
 
 // Answers that failed say nothing of how long one takes: of an endpoint that fails at once all
@@ -397,7 +397,7 @@
         end.ticket = ticket;
         end.attempt = this->last_start().attempt;
         end.result = attempt_result::finished;
-        end.answered_badly = true;
+        end.answer_reports_failure = true;
         this->router->on_attempt_end(end, now);
     }
     this->router->begin_stop({now + seconds(2), now + seconds(7)});
@@ -438,7 +438,7 @@
 TEST(routed_dispatch, what_is_read_weighs_on_its_endpoint_no_longer)
 {
     auto request = make_request();
-    request.work.reading = 80.0;
+    request.work.prefill = 80.0;
     request.sizes = 0;
     this->router->on_arrival(request, now);
     const auto only = this->last_start();
--- a/decision/test/suspects_test.cpp
+++ b/decision/test/suspects_test.cpp
@@ -9,7 +9,7 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace pearhaven::decision;
-using standing = suspect_table::standing;
+using suspect_status = suspect_table::suspect_status;
 
 namespace {
 
@@ -35,19 +35,19 @@
     // suspect, and no third endpoint is lost.
     suspect_table table;
     CHECK_TRUE(table.on_crash({1, 2}, now).empty());
-    CHECK_TRUE(standing::suspect == table.look(1, now));
+    CHECK_TRUE(suspect_status::suspect == table.look(1, now));
     table.on_finished(2, now);
     CHECK_TRUE(std::vector<std::uint64_t>{1} == table.on_crash({1, 3}, now));
-    CHECK_TRUE(standing::quarantined == table.look(1, now));
-    CHECK_TRUE(standing::clear == table.look(2, now));
-    CHECK_TRUE(standing::suspect == table.look(3, now));
+    CHECK_TRUE(suspect_status::quarantined == table.look(1, now));
+    CHECK_TRUE(suspect_status::clear == table.look(2, now));
+    CHECK_TRUE(suspect_status::suspect == table.look(3, now));
 }
 
 TEST(suspects_test, one_crash_under_a_request_sent_twice_is_one_strike)
 {
     suspect_table table;
     table.on_crash({1, 1}, now);
-    CHECK_TRUE(standing::suspect == table.look(1, now));
+    CHECK_TRUE(suspect_status::suspect == table.look(1, now));
 }
 
 TEST(suspects_test, of_two_suspects_on_a_crashed_endpoint_none_is_quarantined)
@@ -64,42 +64,42 @@
 {
     suspect_table table({10, std::chrono::minutes(1), std::chrono::minutes(5)});
     table.on_crash({1}, now);
-    CHECK_TRUE(standing::clear == table.look(1, now + std::chrono::minutes(1)));
-    table.learn(1, standing::quarantined, now);
-    CHECK_TRUE(standing::quarantined == table.look(1, now + std::chrono::minutes(4)));
-    table.learn(2, standing::suspect, now + std::chrono::minutes(6));
+    CHECK_TRUE(suspect_status::clear == table.look(1, now + std::chrono::minutes(1)));
+    table.learn(1, suspect_status::quarantined, now);
+    CHECK_TRUE(suspect_status::quarantined == table.look(1, now + std::chrono::minutes(4)));
+    table.learn(2, suspect_status::suspect, now + std::chrono::minutes(6));
     CHECK_EQUAL(1U, table.size());
 }
 
 TEST(suspects_test, of_too_many_entries_suspicions_go_before_quarantines)
 {
     suspect_table table({2, std::chrono::minutes(10), std::chrono::hours(1)});
-    table.learn(1, standing::quarantined, now);
+    table.learn(1, suspect_status::quarantined, now);
     table.on_crash({2, 3}, now);
     CHECK_EQUAL(2U, table.size());
-    CHECK_TRUE(standing::quarantined == table.look(1, now));
+    CHECK_TRUE(suspect_status::quarantined == table.look(1, now));
 }
 
 TEST(suspects_test, news_tells_what_was_found_here_once)
 {
     suspect_table table;
-    table.learn(9, standing::suspect, now);
+    table.learn(9, suspect_status::suspect, now);
     table.on_crash({1, 9}, now);
     table.on_finished(1, now);
-    const std::vector<std::pair<std::uint64_t, standing>> expected = {
-        {1, standing::suspect}, {9, standing::quarantined}, {1, standing::clear}};
-    CHECK_TRUE(expected == table.take_news());
-    CHECK_TRUE(table.take_news().empty());
+    const std::vector<std::pair<std::uint64_t, suspect_status>> expected = {
+        {1, suspect_status::suspect}, {9, suspect_status::quarantined}, {1, suspect_status::clear}};
+    CHECK_TRUE(expected == table.take_changes());
+    CHECK_TRUE(table.take_changes().empty());
 }
 
 TEST(suspects_test, late_news_lifts_no_quarantine)
 {
     suspect_table table;
-    table.learn(1, standing::quarantined, now);
-    table.learn(1, standing::suspect, now);
-    table.learn(1, standing::clear, now);
+    table.learn(1, suspect_status::quarantined, now);
+    table.learn(1, suspect_status::suspect, now);
+    table.learn(1, suspect_status::clear, now);
     table.on_finished(1, now);
-    CHECK_TRUE(standing::quarantined == table.look(1, now));
+    CHECK_TRUE(suspect_status::quarantined == table.look(1, now));
 }
 
 namespace {
@@ -119,7 +119,7 @@
         }
         RC_ASSERT(this->crashes <= 2);
         for (std::uint64_t innocent = guilty + 1; innocent < guilty + 12; ++innocent) {
-            RC_ASSERT(this->table.look(innocent, now) != standing::quarantined);
+            RC_ASSERT(this->table.look(innocent, now) != suspect_status::quarantined);
         }
     }
 
@@ -139,7 +139,7 @@
 private:
     [[nodiscard]] bool is_suspect(std::uint64_t request) const
     {
-        return this->table.look(request, now) == standing::suspect;
+        return this->table.look(request, now) == suspect_status::suspect;
     }
 
     // One copy of a request at a time: a router gives a resend the state of the first.
@@ -152,7 +152,7 @@
         auto& here = this->running[endpoint];
         const bool shares = std::any_of(here.begin(), here.end(),
                                         [this](auto other) { return this->is_suspect(other); });
-        const bool quarantined = this->table.look(request, now) == standing::quarantined;
+        const bool quarantined = this->table.look(request, now) == suspect_status::quarantined;
         if (!runs && !quarantined && !(this->is_suspect(request) && shares)) {
             here.push_back(request);
         }
--- a/router/src/caller_server.cpp
+++ b/router/src/caller_server.cpp
@@ -163,7 +163,7 @@
     caller.fields = std::get<caller_fields>(std::move(fields));
     caller.configuration = this->ports.configuration.get();
     if (!caller.configuration) {
-        this->refuse(connection, form_of(not_run_for_now(decision::failure_code::not_in_touch,
+        this->refuse(connection, form_of(not_run_for_now(decision::failure_code::config_unconfirmed,
                                                          "no configuration has come yet")));
         return std::nullopt;
     }
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -141,7 +141,7 @@
     void carry_out(const decision::give_up_request& action);
     // For other routers; whoever embeds the relay with peers tells them.
     void carry_out(const decision::announce_leaving& /*action*/) {}
-    void carry_out(const decision::announce_standing& /*action*/) {}
+    void carry_out(const decision::announce_suspect_status& /*action*/) {}
 
     void bound_times(const relayed_request& relayed, adapters::outbound_request& sent) const;
     void end_attempt(relayed_request& relayed, decision::attempt_end end);
@@ -280,7 +280,7 @@
     }
     const bool streamed = decision::is_streamed(request.kind);
     const double part = streamed ? this->settings.stream_patience : this->settings.plain_patience;
-    const auto patience = this->dispatcher.patience_before_answer(request.work, part);
+    const auto patience = this->dispatcher.first_response_timeout(request.work, part);
     if (patience > duration::zero()) {
         sent.answer_time = std::min(left, std::max(patience, this->settings.least_patience));
     }
@@ -499,7 +499,7 @@
         const bool repeatable = decision::may_run_again(relayed->request.kind);
         end.result = repeatable ? attempt_result::failed : attempt_result::finished;
         end.answered_error = repeatable;
-        end.answered_badly = true;
+        end.answer_reports_failure = true;
     } else if (current.events.has_part()) {
         end.result = attempt_result::failed;
     } else {
@@ -517,7 +517,7 @@
     if (relayed == nullptr) {
         return true;
     }
-    if (!this->dispatcher.may_move(ticket, this->loop.now())) {
+    if (!this->dispatcher.can_retry(ticket, this->loop.now())) {
         return false;
     }
     ++relayed->attempt.silences;
--- a/router/src/fleet_duty.cpp
+++ b/router/src/fleet_duty.cpp
@@ -102,7 +102,7 @@
     case claim_verdict::unavailable:
         break;
     }
-    return {failure_code::not_in_touch, run_state::not_run, true, later,
+    return {failure_code::config_unconfirmed, run_state::not_run, true, later,
             "the key-value service cannot be reached to claim this request"};
 }
 
@@ -350,7 +350,7 @@
 void fleet_duty::carry_out(fleet_part /*part*/, const coordination::fact_learned& action)
 {
     using coordination::fact_kind;
-    using standing = decision::suspect_table::standing;
+    using suspect_status = decision::suspect_table::suspect_status;
     const auto& news = action.learned;
     if (news.author == this->all.incarnation) {
         return;
@@ -360,10 +360,10 @@
         this->routing->submit(leaving_told{news.subject, static_cast<std::uint64_t>(news.value)});
         break;
     case fact_kind::request_quarantined:
-        this->routing->submit(standing_told{fingerprint_of(news), standing::quarantined});
+        this->routing->submit(standing_told{fingerprint_of(news), suspect_status::quarantined});
         break;
     case fact_kind::request_suspect:
-        this->routing->submit(standing_told{fingerprint_of(news), standing::suspect});
+        this->routing->submit(standing_told{fingerprint_of(news), suspect_status::suspect});
         break;
     case fact_kind::version_tripped:
         this->routing->submit(trip_told{news.subject, static_cast<std::uint64_t>(news.value)});
--- a/router/src/http_reply.cpp
+++ b/router/src/http_reply.cpp
@@ -38,7 +38,7 @@
         return {"deadline_passed", status_gateway_timeout};
     case failure_code::no_endpoint:
         return {"no_endpoint", status_unavailable};
-    case failure_code::not_in_touch:
+    case failure_code::config_unconfirmed:
         return {"not_in_touch", status_unavailable};
     case failure_code::request_quarantined:
         return {"request_quarantined", status_conflict};
--- a/router/src/peer_desk.cpp
+++ b/router/src/peer_desk.cpp
@@ -118,7 +118,7 @@
     const auto sends =
         this->exchange.on_tick(this->used.dispatcher.endpoints().own_loads(),
                                {mirror.is_in_touch(), mirror.revision(), mirror.has_to_ask()},
-                               this->used.loop.now(), this->used.dispatcher.filling_loads());
+                               this->used.loop.now(), this->used.dispatcher.concentrated_loads());
     for (const auto& send : sends) {
         this->link->send({send.to.host, send.to.port}, send.message);
     }
@@ -128,7 +128,7 @@
                      const coordination::peer_message& message)
 {
     if (const auto* told = std::get_if<coordination::load_push>(&message)) {
-        this->used.dispatcher.on_loads_told(from, told->loads, this->used.loop.now());
+        this->used.dispatcher.on_peer_loads(from, told->loads, this->used.loop.now());
     } else if (const auto* asked = std::get_if<coordination::mirror_pull>(&message)) {
         this->answer(reply_to, *asked);
     } else if (const auto* news = std::get_if<coordination::mirror_news>(&message)) {
--- a/router/src/request_claim.cpp
+++ b/router/src/request_claim.cpp
@@ -8,7 +8,7 @@
 
 decision::failure not_decided()
 {
-    return {decision::failure_code::not_in_touch, decision::run_state::not_run, true,
+    return {decision::failure_code::config_unconfirmed, decision::run_state::not_run, true,
             std::chrono::seconds(1), "the claim could not be made in time"};
 }
 
--- a/router/src/routing_duty.cpp
+++ b/router/src/routing_duty.cpp
@@ -142,7 +142,7 @@
 
 void routing_duty::handle(touch_changed& event)
 {
-    this->dispatcher.on_touch(event.until, now());
+    this->dispatcher.on_config_confirmed(event.until, now());
 }
 
 void routing_duty::handle(hosts_listed& event)
@@ -164,7 +164,7 @@
 
 void routing_duty::handle(standing_told& event)
 {
-    this->dispatcher.on_standing_told(event.fingerprint, event.standing, now());
+    this->dispatcher.on_peer_suspect_status(event.fingerprint, event.suspect_status, now());
 }
 
 void routing_duty::handle(fleet_changed& event)
@@ -174,7 +174,7 @@
 
 void routing_duty::handle(trip_told& event)
 {
-    this->dispatcher.on_trip_told(event.version, event.run, now());
+    this->dispatcher.on_peer_trip(event.version, event.run, now());
 }
 
 void routing_duty::handle(drain_begun& begun)
@@ -341,14 +341,14 @@
     this->fleet.submit(fact_found{std::move(news)});
 }
 
-void routing_duty::carry_out(const decision::announce_standing& action)
+void routing_duty::carry_out(const decision::announce_suspect_status& action)
 {
-    using standing = decision::suspect_table::standing;
-    if (action.standing == standing::clear) {
+    using suspect_status = decision::suspect_table::suspect_status;
+    if (action.suspect_status == suspect_status::clear) {
         return;
     }
     coordination::fact news;
-    news.kind = action.standing == standing::quarantined
+    news.kind = action.suspect_status == suspect_status::quarantined
                     ? coordination::fact_kind::request_quarantined
                     : coordination::fact_kind::request_suspect;
     news.subject = std::to_string(action.fingerprint);
--- a/router/src/routing_duty.hpp
+++ b/router/src/routing_duty.hpp
@@ -83,7 +83,7 @@
     void carry_out(const decision::complete_request& action);
     void carry_out(const decision::give_up_request& action);
     void carry_out(const decision::announce_leaving& action);
-    void carry_out(const decision::announce_standing& action);
+    void carry_out(const decision::announce_suspect_status& action);
     void start_engine(request_note& note, const decision::start_attempt& action);
     void start_service(request_note& note, const decision::start_attempt& action);
     [[nodiscard]] coordination::bill make_bill(const request_note& note,
--- a/router/src/routing_event.hpp
+++ b/router/src/routing_event.hpp
@@ -52,7 +52,8 @@
 
 struct standing_told {
     std::uint64_t fingerprint = 0;
-    decision::suspect_table::standing standing = decision::suspect_table::standing::clear;
+    decision::suspect_table::suspect_status suspect_status =
+        decision::suspect_table::suspect_status::clear;
 };
 
 // Another router's evidence has tripped an attempt at rolling the version out.
--- a/router/test/event_relay_test.cpp
+++ b/router/test/event_relay_test.cpp
@@ -49,7 +49,7 @@
         made.work.deadline = caller.arrived() + this->patience;
         made.work.max_attempts = 2;
         made.work.sizes = static_cast<std::uint32_t>(made.models.size());
-        made.work.on_loss = decision::continuation::at_other_run;
+        made.work.on_loss = decision::continuation::another_run;
         made.work.objective = this->objective;
         return made;
     }
@@ -195,7 +195,7 @@
         decision::dispatcher_settings chosen;
         chosen.endpoints.zone = "osu";
         chosen.max_refusals = 1;
-        chosen.out_of_touch_patience = std::chrono::hours(1);
+        chosen.config_expiry_grace = std::chrono::hours(1);
         this->dispatcher = std::make_unique<decision::dispatcher>(chosen);
         this->client = adapters::make_http_outbound(this->loop, {});
         this->script = std::make_unique<loop_script>(this->loop);
@@ -204,7 +204,7 @@
         const auto now = this->loop.now();
         this->dispatcher->on_configuration(make_configuration(), now);
         this->dispatcher->on_hosts(this->hosts(), now);
-        this->dispatcher->on_touch(decision::instant::max(), now);
+        this->dispatcher->on_config_confirmed(decision::instant::max(), now);
         this->dialect.form.kind = work_kind::resumable_stream;
     }
 
@@ -743,12 +743,12 @@
 // is in force has no place for the caller: it is refused once that is known, and never sent.
 TEST(event_relay, a_waiting_request_is_refused_unrun_when_its_team_is_gone)
 {
-    this->dispatcher->on_touch(this->loop.now(), this->loop.now());
+    this->dispatcher->on_config_confirmed(this->loop.now(), this->loop.now());
     this->begin()
         .when([this] { return this->dispatcher->queued() == 1; },
               [this] {
                   this->remove_team();
-                  this->dispatcher->on_touch(decision::instant::max(), this->loop.now());
+                  this->dispatcher->on_config_confirmed(decision::instant::max(), this->loop.now());
                   this->relay->run_actions();
               })
         .when(this->caller_has("refused, not run"), [this] { this->leave(); });
