--- a/decision/include/pearhaven/decision/dispatcher.hpp
+++ b/decision/include/pearhaven/decision/dispatcher.hpp
@@ -1,10 +1,10 @@
 #ifndef PEARHAVEN_DECISION_DISPATCHER_HPP
 #define PEARHAVEN_DECISION_DISPATCHER_HPP
 
-#include "pearhaven/decision/answer_lengths.hpp"
 #include "pearhaven/decision/configuration.hpp"
 #include "pearhaven/decision/endpoint_table.hpp"
 #include "pearhaven/decision/fair_queue.hpp"
+#include "pearhaven/decision/response_times.hpp"
 #include "pearhaven/decision/retry_budget.hpp"
 #include "pearhaven/decision/rollout_exposure.hpp"
 #include "pearhaven/decision/session_token.hpp"
--- a/decision/src/answer_lengths.cpp
+++ b/decision/src/response_times.cpp
@@ -1,4 +1,4 @@
-#include "pearhaven/decision/answer_lengths.hpp"
+#include "pearhaven/decision/response_times.hpp"
 
 #include <algorithm>
 
