--- a/decision/include/pearhaven/decision/dispatcher.hpp
+++ b/decision/include/pearhaven/decision/dispatcher.hpp
@@ -186,12 +186,13 @@
     double retry_burst = 20.0;           // retries allowed beyond those shares, for one router
     double fleet_retry_burst = 0.0;      // for all routers together; zero: no bound
     size_choice_settings sizes;
-    double small_model_work = 0.1;   // of the largest model's work, for the same request
-    std::uint32_t max_refusals = 16; // endpoints that turned one request away before it ran
-    std::uint32_t max_resumes = 3;   // fresh connections for one run
+    double small_model_work_factor = 0.1; // of the largest model's work, for the same request
+    std::uint32_t max_refusals = 16;      // endpoints that turned one request away before it ran
+    std::uint32_t max_resumes = 3;        // fresh connections for one run
     std::uint32_t max_losses =
         2; // broken runs of one request; bounds the endpoints that it can crash
-    double usual_patience = 2.0; // times that answers of a kind usually take to begin
+    double first_response_timeout_factor =
+        2.0; // times that answers of a kind usually take to begin
     std::uint64_t seed = 1;
 };
 
@@ -289,9 +290,9 @@
     // Gives up all that is left. What never ran is said not to have run.
     void end_stop(instant now);
 
-    // `heard_until`: all that had come by then from endpoints has been told. A run is past its
-    // deadline by it, and not by the clock: an answer may have come that nobody has read yet.
-    void on_tick(instant now, instant heard_until);
+    // `events_read_until`: all that had come by then from endpoints has been told. A run is past
+    // its deadline by it, and not by the clock: an answer may have come that nobody has read yet.
+    void on_tick(instant now, instant events_read_until);
     void on_tick(instant now) { this->on_tick(now, now); }
 
     [[nodiscard]] std::vector<dispatch_action> take_actions();
@@ -317,7 +318,7 @@
     };
 
     struct request_state {
-        arrival what;
+        arrival request;
         attempt_number attempt = 0;
         std::string address;           // where the attempt runs; empty while queued
         std::uint64_t incarnation = 0; // of the endpoint that it was sent to
@@ -326,41 +327,43 @@
         instant avoid_until;                 // then it may go to them again, as the only ones left
         std::uint32_t resumes = 0;
         std::uint32_t refusals = 0;
-        std::uint32_t losses = 0;          // runs that broke off
-        instant lost_at;                   // when a run of it broke off last
-        attempt_number struck_attempt = 0; // attempt that was last counted as part of a crash
-        bool delivered = false;            // tokens have reached the caller
+        std::uint32_t losses = 0; // runs that broke off
+        instant lost_at;          // when a run of it broke off last
+        attempt_number crash_counted_attempt =
+            0;                  // attempt that was last counted as part of a crash
+        bool delivered = false; // tokens have reached the caller
         bool may_have_run = false;
         std::uint32_t runs = 0; // attempts that were sent and not refused
         std::uint32_t size = 0; // of the model that the next attempt asks for
         instant arrived;
-        instant sent_at;                // the present attempt
-        bool packed = false;            // the present attempt helps to fill one endpoint
-        bool was_crowded_out = false;   // the endpoint that is being filled has refused it
-        std::uint32_t own_size = 0;     // `size`, before that endpoint made it the largest
+        instant sent_at;            // the present attempt
+        bool concentrated = false;  // the present attempt helps to fill one endpoint
+        bool was_displaced = false; // the endpoint that is being filled has refused it
+        std::uint32_t size_before_concentration =
+            0;                          // `size`, before that endpoint made it the largest
         std::size_t load_level = 0;     // if so: of that endpoint when it was sent
-        bool writing = false;           // the present attempt's answer has begun
-        double held_work = 0.0;         // of the present attempt, that its endpoint still has to do
-        double reading = 0.0;           // of that, what is done once the answer begins
+        bool answer_begun = false;      // the present attempt's answer has begun
+        double outstanding_work = 0.0;  // of the present attempt, that its endpoint still has to do
+        double prefill_work = 0.0;      // of that, what is done once the answer begins
         std::vector<prompt_part> parts; // of the present attempt, by model
         rollout_note rollouts;
     };
 
-    struct counted_arrivals {
+    struct arrival_counter {
         std::uint32_t in_period = 0;
         double per_second = 0.0;
     };
 
     struct target_arrivals {
-        counted_arrivals all;
-        counted_arrivals that_fill; // of these, see `rollout_note::fills_endpoint`
+        arrival_counter all;
+        arrival_counter endpoint_filling; // of these, see `rollout_note::fills_endpoint`
     };
 
-    struct chosen_start {
+    struct start_choice {
         std::string address;
         std::string version;
         std::string exposed_by;
-        bool packed = false;
+        bool concentrated = false;
     };
 
     [[nodiscard]] std::optional<failure> admission_failure(const arrival& request,
@@ -370,53 +373,54 @@
     [[nodiscard]] std::optional<failure> caller_failure(const arrival& request) const;
     [[nodiscard]] std::optional<failure> target_failure(const request_state& state,
                                                         instant now) const;
-    [[nodiscard]] std::optional<chosen_start> find_start(const request_state& state, instant now);
-    [[nodiscard]] rollout_choice ask_version(const request_state& state, instant now) const;
+    [[nodiscard]] std::optional<start_choice> find_start(const request_state& state, instant now);
+    [[nodiscard]] rollout_choice choose_version(const request_state& state, instant now) const;
     [[nodiscard]] placement place(const request_state& state, const std::string& target,
                                   instant now) const;
-    [[nodiscard]] bool is_in_touch(instant now) const { return now < this->in_touch_until; }
-    [[nodiscard]] bool is_long_out_of_touch(instant now) const;
+    [[nodiscard]] bool is_config_valid(instant now) const { return now < this->config_valid_until; }
+    [[nodiscard]] bool is_config_grace_over(instant now) const;
     [[nodiscard]] bool is_suspect(const request_state& state, instant now) const;
     void add_avoided(const request_state& state, placement& wanted) const;
-    [[nodiscard]] bool runs_at_present_life(const request_state& state) const;
-    void keep_suspect_apart(const request_state& state, placement& wanted, instant now) const;
+    [[nodiscard]] bool is_on_current_incarnation(const request_state& state) const;
+    void isolate_suspect(const request_state& state, placement& wanted, instant now) const;
     [[nodiscard]] duration expected_wait() const;
-    [[nodiscard]] bool helps_to_fill(const request_state& state, const std::string& version) const;
+    [[nodiscard]] bool may_concentrate(const request_state& state,
+                                       const std::string& version) const;
 
     [[nodiscard]] double weight_of(const std::string& team) const;
     bool enqueue(const request_state& state);
     void dispatch(instant now);
     void dispatch_entry(ticket_number ticket, instant now);
-    void start(request_state& state, const chosen_start& where, instant now);
+    void start(request_state& state, const start_choice& where, instant now);
     void after_finish(request_state& state, const attempt_end& end, instant now);
     void after_refusal(request_state& state, const attempt_end& end, instant now);
     void after_break(request_state& state, const attempt_end& end, instant now);
     void after_loss(request_state& state, const attempt_end& end, instant now);
     void resume(request_state& state, const attempt_end& end);
     void retry(request_state& state);
-    void note_speed(const request_state& state, duration first_token);
-    void weigh_speed(const request_state& state, speed_reference& reference, duration time);
+    void record_first_token(const request_state& state, duration first_token);
+    void evaluate_speed(const request_state& state, speed_reference& reference, duration time);
     [[nodiscard]] static speed_reference_settings pace_settings();
     [[nodiscard]] bool has_time_for_run(const arrival& request, instant now) const;
     void cancel_run(const request_state& state, instant now);
     [[nodiscard]] double size_factor(const request_state& state) const;
     [[nodiscard]] std::vector<prompt_part> parts_of(const request_state& state) const;
     [[nodiscard]] double work_of(const request_state& state) const;
-    void note_begun(request_state& state);
-    void note_loaded_run(const request_state& state, bool good);
+    void record_answer_begin(request_state& state);
+    void record_loaded_run(const request_state& state, bool good);
     [[nodiscard]] retry_budget& budget_of(const arrival& request);
-    [[nodiscard]] double burst_of_router(const std::string& asked) const;
-    [[nodiscard]] bool may_run_once_more(const request_state& state) const;
-    void note_version_refused(request_state& state) const;
-    void note_version_lost(request_state& state, const attempt_end& end, instant now);
-    [[nodiscard]] bool waits_for_others(const request_state& state, instant now) const;
-    void blame_crash(const std::string& address, std::uint64_t incarnation, instant now);
-    void count_end(const request_state& state, attempt_result result, duration first_token,
-                   instant now);
-    static void settle_rate(counted_arrivals& counted, double seconds);
-    void note_finished_work(double work, instant now);
+    [[nodiscard]] double router_burst(const std::string& asked) const;
+    [[nodiscard]] bool has_runs_left(const request_state& state) const;
+    void record_version_refusal(request_state& state) const;
+    void record_version_loss(request_state& state, const attempt_end& end, instant now);
+    [[nodiscard]] bool is_blocked_by_others(const request_state& state, instant now) const;
+    void mark_crash_suspects(const std::string& address, std::uint64_t incarnation, instant now);
+    void record_attempt_end(const request_state& state, attempt_result result, duration first_token,
+                            instant now);
+    static void update_rate(arrival_counter& counted, double seconds);
+    void record_finished_work(double work, instant now);
     void give_up_all_queued(const failure& why);
-    void give_up_overdue(instant now, instant heard_until);
+    void give_up_overdue(instant now, instant events_read_until);
     void give_up(ticket_number ticket, failure why);
     void forget(ticket_number ticket);
     void publish_suspect_statuses();
@@ -433,16 +437,16 @@
     std::map<std::string, std::uint32_t> team_in_flight;
     speed_reference first_tokens; // of answers that come whole
     speed_reference paces{pace_settings()};
-    answer_lengths lengths;    // from arrival to the end
-    answer_lengths beginnings; // from an attempt's start to its answer's
+    response_times completion_times;     // from arrival to the end
+    response_times first_response_times; // from an attempt's start to its answer's
     rollout_exposure exposure;
     std::vector<dispatch_action> actions;
     std::optional<planned_stop> stop;
     std::size_t fleet_rank = 0;
     std::size_t fleet_size = 1;
-    instant in_touch_until;
-    instant overdue_checked;
-    instant rate_since;
+    instant config_valid_until;
+    instant last_overdue_check;
+    instant rate_period_start;
     double work_in_period = 0.0;
     double work_per_second = 0.0;
     std::uint64_t random_state;
--- a/decision/include/pearhaven/decision/retry_budget.hpp
+++ b/decision/include/pearhaven/decision/retry_budget.hpp
@@ -13,7 +13,7 @@
 public:
     // For how long a budget without a burst keeps a retry that was paid for. Kept for ever, one for
     // each router of a large fleet would add up to a burst that nobody allowed.
-    static constexpr duration paid_time = std::chrono::seconds(1);
+    static constexpr duration earned_lifetime = std::chrono::seconds(1);
 
     // Each success earns `share` of a retry; at most `burst` retries are saved up. A new budget
     // holds the whole burst.
@@ -31,7 +31,7 @@
     [[nodiscard]] bool can_spend(instant now) const;
 
     // Takes a retry that is made in any case, from what is earned later if none is left.
-    void owe(instant now);
+    void debit(instant now);
 
     // From now on at most so many are saved up, and owed.
     void set_burst(double burst);
@@ -39,19 +39,19 @@
     [[nodiscard]] double balance() const { return this->saved; }
 
 private:
-    [[nodiscard]] double paid_at(instant now) const;
-    void set_paid(double retries, instant now);
+    [[nodiscard]] double earned_at(instant now) const;
+    void set_earned(double retries, instant now);
 
     double share;
     double burst;
     double saved;
-    double paid = 0.0; // without a burst; below zero what is owed
-    instant paid_since{};
+    double earned = 0.0; // without a burst; below zero what is owed
+    instant earned_since{};
 };
 
 // The part of the fleet's burst that the router of the rank holds, `most` at most. Where there are
 // more routers than whole retries, some hold one and the others none: a part of a retry is none.
-[[nodiscard]] double router_share_of_burst(double fleets_burst, double most, std::size_t rank,
+[[nodiscard]] double router_share_of_burst(double fleet_burst, double max_share, std::size_t rank,
                                            std::size_t size);
 
 } // namespace pearhaven::decision
--- a/decision/include/pearhaven/decision/suspects.hpp
+++ b/decision/include/pearhaven/decision/suspects.hpp
@@ -38,7 +38,7 @@
     suspect_table& operator=(const suspect_table&) = delete;
     ~suspect_table();
 
-    [[nodiscard]] suspect_status look(std::uint64_t fingerprint, instant now) const;
+    [[nodiscard]] suspect_status status_of(std::uint64_t fingerprint, instant now) const;
 
     // An endpoint crashed while these ran on it. Returns those that are newly quarantined.
     std::vector<std::uint64_t> on_crash(const std::vector<std::uint64_t>& in_flight, instant now);
@@ -47,7 +47,7 @@
     void on_finished(std::uint64_t fingerprint, instant now);
 
     // Another router's news.
-    void learn(std::uint64_t fingerprint, suspect_status told, instant now);
+    void apply_peer_status(std::uint64_t fingerprint, suspect_status reported, instant now);
 
     // What changed here since the last call, for the other routers.
     std::vector<std::pair<std::uint64_t, suspect_status>> take_changes();
--- a/decision/include/pearhaven/decision/work.hpp
+++ b/decision/include/pearhaven/decision/work.hpp
@@ -24,7 +24,7 @@
 // The expected work of a request. `max_tokens` is the caller's bound on the answer; 0 where none is
 // stated. A stated class is believed; else long prompts and long answers make a reading.
 [[nodiscard]] work_estimate estimate_work(std::size_t prompt_bytes, std::uint32_t max_tokens,
-                                          std::optional<work_class> stated);
+                                          std::optional<work_class> declared);
 
 // The same measure for a run whose numbers of tokens are known.
 [[nodiscard]] double measured_work(std::uint64_t prompt_tokens, std::uint64_t completion_tokens);
--- a/decision/src/concurrency_limit.cpp
+++ b/decision/src/concurrency_limit.cpp
@@ -9,14 +9,14 @@
 constexpr double restart_share = 0.25;
 // Engines batch: a small batch wastes the engine, and a full one has slower first tokens by nature.
 // Lateness alone therefore never cuts the limit below this share of the ceiling.
-constexpr double least_share_when_late = 0.25;
+constexpr double min_share_when_late = 0.25;
 constexpr double recent_weight = 0.3;
 // The usual latency follows quicker answers soon and slower ones hardly, so that an overload does
 // not become the usual before it is noticed.
-constexpr double quicker_weight = 0.1;
-constexpr double slower_weight = 0.005;
+constexpr double faster_sample_weight = 0.1;
+constexpr double slower_sample_weight = 0.005;
 // Lateness below this is not worth a smaller batch.
-constexpr double lateness_floor_us = 100'000.0;
+constexpr double min_lateness_us = 100'000.0;
 
 double blend(double before, double sample, double weight)
 {
@@ -26,19 +26,19 @@
 } // namespace
 
 concurrency_limit::concurrency_limit(double ceiling)
-    : highest(std::max(ceiling, 1.0)), current(this->highest)
+    : max_limit(std::max(ceiling, 1.0)), current(this->max_limit)
 {}
 
 void concurrency_limit::set_ceiling(double ceiling)
 {
-    const bool at_ceiling = this->current >= this->highest;
-    this->highest = std::max(ceiling, 1.0);
-    this->current = at_ceiling ? this->highest : std::min(this->current, this->highest);
+    const bool at_ceiling = this->current >= this->max_limit;
+    this->max_limit = std::max(ceiling, 1.0);
+    this->current = at_ceiling ? this->max_limit : std::min(this->current, this->max_limit);
 }
 
 void concurrency_limit::restart()
 {
-    this->current = std::max(1.0, this->highest * restart_share);
+    this->current = std::max(1.0, this->max_limit * restart_share);
     this->latency = {};
 }
 
@@ -46,19 +46,19 @@
                                     instant now, const endpoint_table_settings& settings)
 {
     if (first_token > duration::zero() && this->is_late(kind, first_token, settings)) {
-        const double least = std::max(1.0, this->highest * least_share_when_late);
-        this->cut(settings.latency_backoff, least, now, settings);
+        const double min_limit = std::max(1.0, this->max_limit * min_share_when_late);
+        this->reduce(settings.latency_backoff, min_limit, now, settings);
         return;
     }
     // A limit that is not used says nothing about what the endpoint bears.
     if (in_use >= this->current / 2.0) {
-        this->current = std::min(this->highest, this->current + 1.0 / this->current);
+        this->current = std::min(this->max_limit, this->current + 1.0 / this->current);
     }
 }
 
 void concurrency_limit::on_refused(instant now, const endpoint_table_settings& settings)
 {
-    this->cut(settings.refusal_backoff, 1.0, now, settings);
+    this->reduce(settings.refusal_backoff, 1.0, now, settings);
 }
 
 bool concurrency_limit::is_late(work_class kind, duration first_token,
@@ -67,22 +67,23 @@
     const auto sample = static_cast<double>(first_token.count());
     latency_track& track = this->latency.at(static_cast<std::size_t>(kind));
     track.recent = blend(track.recent, sample, recent_weight);
-    const bool late = track.recent > settings.latency_tolerance * track.usual + lateness_floor_us &&
-                      track.usual > 0.0;
-    const double weight = sample < track.usual ? quicker_weight : slower_weight;
-    track.usual = blend(track.usual, sample, weight);
+    const bool late =
+        track.recent > settings.latency_tolerance * track.baseline + min_lateness_us &&
+        track.baseline > 0.0;
+    const double weight = sample < track.baseline ? faster_sample_weight : slower_sample_weight;
+    track.baseline = blend(track.baseline, sample, weight);
     return late;
 }
 
 // One cut an interval: a burst of refusals tells of one overload, not of many.
-void concurrency_limit::cut(double factor, double least, instant now,
-                            const endpoint_table_settings& settings)
+void concurrency_limit::reduce(double factor, double min_limit, instant now,
+                               const endpoint_table_settings& settings)
 {
-    if (now < this->next_cut) {
+    if (now < this->next_reduction) {
         return;
     }
-    this->next_cut = now + settings.backoff_interval;
-    this->current = std::min(this->current, std::max(least, this->current * factor));
+    this->next_reduction = now + settings.backoff_interval;
+    this->current = std::min(this->current, std::max(min_limit, this->current * factor));
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/concurrency_limit.hpp
+++ b/decision/src/concurrency_limit.hpp
@@ -30,22 +30,23 @@
     void on_refused(instant now, const endpoint_table_settings& settings);
 
     [[nodiscard]] double value() const { return this->current; }
-    [[nodiscard]] double ceiling() const { return this->highest; }
+    [[nodiscard]] double ceiling() const { return this->max_limit; }
 
 private:
     // First-token latency of one class: as usual, and of late; zero before the first sample.
     struct latency_track {
-        double usual = 0.0;
+        double baseline = 0.0;
         double recent = 0.0;
     };
 
     [[nodiscard]] bool is_late(work_class kind, duration first_token,
                                const endpoint_table_settings& settings);
-    void cut(double factor, double least, instant now, const endpoint_table_settings& settings);
+    void reduce(double factor, double min_limit, instant now,
+                const endpoint_table_settings& settings);
 
-    double highest;
+    double max_limit;
     double current;
-    instant next_cut{};
+    instant next_reduction{};
     std::array<latency_track, 2> latency{};
 };
 
--- a/decision/src/dispatch_failures.hpp
+++ b/decision/src/dispatch_failures.hpp
@@ -9,17 +9,17 @@
 namespace pearhaven::decision {
 
 // When a caller may come back: after what passes quickly, and after what takes an operator.
-inline constexpr duration soon = std::chrono::seconds(1);
-inline constexpr duration later = std::chrono::seconds(5);
+inline constexpr duration short_retry_delay = std::chrono::seconds(1);
+inline constexpr duration long_retry_delay = std::chrono::seconds(5);
 
 // Of a request that has not run and may be sent again.
-inline failure passing(failure_code code, duration retry_after, std::string detail)
+inline failure retryable_failure(failure_code code, duration retry_after, std::string detail)
 {
     return {code, run_state::not_run, true, retry_after, std::move(detail)};
 }
 
 // Of a request that has not run and that sending again does not help.
-inline failure lasting(failure_code code, std::string detail)
+inline failure permanent_failure(failure_code code, std::string detail)
 {
     return {code, run_state::not_run, false, duration::zero(), std::move(detail)};
 }
--- a/decision/src/dispatcher.cpp
+++ b/decision/src/dispatcher.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 // How long a suspect is kept for the endpoints of its own router.
-constexpr duration suspect_hold = std::chrono::seconds(3);
+constexpr duration suspect_isolation_period = std::chrono::seconds(3);
 
 // Period over which the rate of finished work is measured.
 constexpr duration rate_period = std::chrono::seconds(1);
 
 // Time between two looks for runs past their deadline.
-constexpr duration overdue_period = std::chrono::milliseconds(100);
+constexpr duration overdue_check_period = std::chrono::milliseconds(100);
 
 // Weight of the newest period in the smoothed rate.
 constexpr double rate_gain = 0.3;
@@ -97,7 +97,7 @@
 void dispatcher::on_peer_suspect_status(std::uint64_t fingerprint,
                                         suspect_table::suspect_status suspect_status, instant now)
 {
-    this->suspects.learn(fingerprint, suspect_status, now);
+    this->suspects.apply_peer_status(fingerprint, suspect_status, now);
 }
 
 void dispatcher::on_peer_trip(const std::string& version, std::uint64_t run, instant now)
@@ -108,13 +108,13 @@
 
 void dispatcher::on_config_confirmed(instant until, instant now)
 {
-    this->in_touch_until = until;
+    this->config_valid_until = until;
     this->dispatch(now);
 }
 
-bool dispatcher::is_long_out_of_touch(instant now) const
+bool dispatcher::is_config_grace_over(instant now) const
 {
-    return now - this->in_touch_until > this->settings.config_expiry_grace;
+    return now - this->config_valid_until > this->settings.config_expiry_grace;
 }
 
 void dispatcher::on_fleet(std::size_t rank, std::size_t size)
@@ -123,7 +123,7 @@
     this->fleet_rank = std::min(rank, this->fleet_size - 1);
     this->exposure.on_fleet(this->fleet_rank, this->fleet_size);
     for (auto& [asked, budget] : this->budgets) {
-        budget.set_burst(this->burst_of_router(asked));
+        budget.set_burst(this->router_burst(asked));
     }
 }
 
@@ -136,18 +136,19 @@
     ++this->team_in_flight[request.team];
     const auto ticket = request.ticket;
     request_state state;
-    state.what = std::move(request);
+    state.request = std::move(request);
     state.lost_at = now; // by another router, if it is a suspect already
     state.arrived = now;
-    state.size = first_size(state.what.sizes, this->settings.sizes);
-    state.rollouts.fills_endpoint = fills_endpoint(state.what);
-    auto& arrivals = this->arrivals_by_target[state.what.asked];
+    state.size = first_size(state.request.sizes, this->settings.sizes);
+    state.rollouts.fills_endpoint = fills_endpoint(state.request);
+    auto& arrivals = this->arrivals_by_target[state.request.asked];
     ++arrivals.all.in_period;
-    arrivals.that_fill.in_period += state.rollouts.fills_endpoint ? 1 : 0;
-    this->budget_of(state.what).earn(this->settings.retry_share_on_arrival, now);
+    arrivals.endpoint_filling.in_period += state.rollouts.fills_endpoint ? 1 : 0;
+    this->budget_of(state.request).earn(this->settings.retry_share_on_arrival, now);
     const auto& admitted = this->requests.emplace(ticket, std::move(state)).first->second;
     if (!this->enqueue(admitted)) {
-        this->give_up(ticket, passing(failure_code::overloaded, soon, "the queue is full"));
+        this->give_up(ticket, retryable_failure(failure_code::overloaded, short_retry_delay,
+                                                "the queue is full"));
         return;
     }
     this->dispatch(now);
@@ -155,7 +156,7 @@
 
 bool dispatcher::is_suspect(const request_state& state, instant now) const
 {
-    return this->suspects.look(state.what.fingerprint, now) ==
+    return this->suspects.status_of(state.request.fingerprint, now) ==
            suspect_table::suspect_status::suspect;
 }
 
@@ -164,19 +165,19 @@
 {
     placement wanted;
     wanted.version_or_service = target;
-    wanted.is_service = state.what.is_service;
-    wanted.kind = state.what.work.kind;
+    wanted.is_service = state.request.is_service;
+    wanted.kind = state.request.work.kind;
     wanted.work = this->work_of(state);
-    wanted.reading = state.what.work.prefill * this->size_factor(state);
+    wanted.reading = state.request.work.prefill * this->size_factor(state);
     wanted.parts = this->parts_of(state);
     // Models share no cache, and so need not share endpoints.
-    wanted.prefix_hash = wanted.parts.empty() ? state.what.prefix_hash : wanted.parts.back().key;
-    wanted.packed = this->helps_to_fill(state, target);
+    wanted.prefix_hash = wanted.parts.empty() ? state.request.prefix_hash : wanted.parts.back().key;
+    wanted.packed = this->may_concentrate(state, target);
     if (now < state.avoid_until) {
         this->add_avoided(state, wanted);
     }
     if (this->is_suspect(state, now)) {
-        this->keep_suspect_apart(state, wanted, now);
+        this->isolate_suspect(state, wanted, now);
     }
     return wanted;
 }
@@ -191,7 +192,7 @@
     }
 }
 
-bool dispatcher::runs_at_present_life(const request_state& state) const
+bool dispatcher::is_on_current_incarnation(const request_state& state) const
 {
     return !state.address.empty() && this->table.incarnation_of(state.address) == state.incarnation;
 }
@@ -200,7 +201,7 @@
 {
     std::set<std::string> filled;
     for (const auto& [ticket, state] : this->requests) {
-        if (state.packed && !state.address.empty()) {
+        if (state.concentrated && !state.address.empty()) {
             filled.insert(state.address);
         }
     }
@@ -218,9 +219,9 @@
 }
 
 // Whether the request is one of those that fill one endpoint of the version.
-bool dispatcher::helps_to_fill(const request_state& state, const std::string& version) const
+bool dispatcher::may_concentrate(const request_state& state, const std::string& version) const
 {
-    return state.rollouts.fills_endpoint && !state.was_crowded_out &&
+    return state.rollouts.fills_endpoint && !state.was_displaced &&
            this->exposure.is_filled(version);
 }
 
@@ -230,15 +231,14 @@
 // its own: those whose place in the list is the router's rank, modulo the number of routers. With
 // fewer endpoints than routers the later ones hold theirs back for a while, until the culprit is
 // known by gossip.
-void dispatcher::keep_suspect_apart(const request_state& state, placement& wanted,
-                                    instant now) const
+void dispatcher::isolate_suspect(const request_state& state, placement& wanted, instant now) const
 {
     for (const auto& [ticket, other] : this->requests) {
-        if (this->runs_at_present_life(other) && this->is_suspect(other, now)) {
+        if (this->is_on_current_incarnation(other) && this->is_suspect(other, now)) {
             wanted.avoid.push_back(other.address);
         }
     }
-    if (now - state.lost_at >= suspect_hold) {
+    if (now - state.lost_at >= suspect_isolation_period) {
         return;
     }
     auto addresses = this->table.addresses();
@@ -250,13 +250,13 @@
     }
 }
 
-std::optional<dispatcher::chosen_start> dispatcher::find_start(const request_state& state,
+std::optional<dispatcher::start_choice> dispatcher::find_start(const request_state& state,
                                                                instant now)
 {
-    auto target = state.what.asked;
+    auto target = state.request.asked;
     std::string exposed_by;
-    if (!state.what.is_service) {
-        auto chosen = this->ask_version(state, now);
+    if (!state.request.is_service) {
+        auto chosen = this->choose_version(state, now);
         target = std::move(chosen.answer.version);
         exposed_by = std::move(chosen.exposed_by);
     }
@@ -266,7 +266,7 @@
     if (!address) {
         return std::nullopt;
     }
-    return chosen_start{std::move(*address), std::move(target), std::move(exposed_by),
+    return start_choice{std::move(*address), std::move(target), std::move(exposed_by),
                         wanted.packed};
 }
 
@@ -284,13 +284,13 @@
 bool dispatcher::enqueue(const request_state& state)
 {
     queue_entry entry;
-    entry.ticket = state.what.ticket;
-    entry.team = state.what.team;
-    entry.weight = this->weight_of(state.what.team);
-    entry.kind = state.what.work.kind;
-    entry.priority = state.what.priority;
-    entry.work = state.what.work.tokens;
-    entry.deadline = state.what.deadline;
+    entry.ticket = state.request.ticket;
+    entry.team = state.request.team;
+    entry.weight = this->weight_of(state.request.team);
+    entry.kind = state.request.work.kind;
+    entry.priority = state.request.priority;
+    entry.work = state.request.work.tokens;
+    entry.deadline = state.request.deadline;
     return this->queue.push(std::move(entry));
 }
 
@@ -298,7 +298,7 @@
 {
     // Without knowledge that the configuration is in force, a withdrawn version might be given
     // work.
-    if (!this->is_in_touch(now) || !this->config) {
+    if (!this->is_config_valid(now) || !this->config) {
         return;
     }
     const auto can_start = [this, now](const queue_entry& entry) {
@@ -324,30 +324,30 @@
     const auto where = this->find_start(state, now);
     if (!where) {
         // The draw fell on no endpoint this time.
-        this->queue.settle(state.what.team, state.what.work.tokens, 0.0);
+        this->queue.settle(state.request.team, state.request.work.tokens, 0.0);
         this->retry(state);
         return;
     }
     this->start(state, *where, now);
 }
 
-void dispatcher::start(request_state& state, const chosen_start& where, instant now)
+void dispatcher::start(request_state& state, const start_choice& where, instant now)
 {
-    const auto& request = state.what;
+    const auto& request = state.request;
     ++state.attempt;
     state.resumes = 0;
     state.address = where.address;
     state.version = where.version;
     state.rollouts.ran_on = where.version;
     state.sent_at = now;
-    state.packed = where.packed;
-    if (state.packed) {
+    state.concentrated = where.concentrated;
+    if (state.concentrated) {
         const double load = this->table.writing_per_slot(where.address, this->fleet_size);
         state.load_level = load_level(load);
     }
-    state.writing = false;
-    state.own_size = state.size;
-    if (state.packed && request.sizes > 0) {
+    state.answer_begun = false;
+    state.size_before_concentration = state.size;
+    if (state.concentrated && request.sizes > 0) {
         // The largest model's answer takes longest, and adds up with the others'.
         state.size = request.sizes - 1;
     }
@@ -359,9 +359,9 @@
     state.incarnation = this->table.incarnation_of(where.address);
     state.parts = this->parts_of(state);
     const double cold = this->table.cold_work_at(where.address, state.parts, now);
-    state.reading = request.work.prefill * this->size_factor(state) + cold;
-    state.held_work = this->work_of(state) + cold;
-    this->table.started(where.address, request.work.kind, state.held_work, state.parts, now);
+    state.prefill_work = request.work.prefill * this->size_factor(state) + cold;
+    state.outstanding_work = this->work_of(state) + cold;
+    this->table.started(where.address, request.work.kind, state.outstanding_work, state.parts, now);
     this->actions.emplace_back(
         start_attempt{request.ticket, state.attempt, where.address, where.version, state.size});
 }
@@ -369,10 +369,10 @@
 // A bad version can answer rightly and several times too slowly. Its answers are measured against
 // those of the version that serves beside it or served before, for the same size of model. First
 // pieces of streams wait for other callers' prompts, by anything up to seconds, and tell little.
-void dispatcher::note_speed(const request_state& state, duration first_token)
+void dispatcher::record_first_token(const request_state& state, duration first_token)
 {
-    if (!state.what.streamed && first_token > duration::zero()) {
-        this->weigh_speed(state, this->first_tokens, first_token);
+    if (!state.request.streamed && first_token > duration::zero()) {
+        this->evaluate_speed(state, this->first_tokens, first_token);
     }
 }
 
@@ -382,21 +382,22 @@
 {
     const auto found = this->requests.find(ticket);
     if (found != this->requests.end() && found->second.attempt == attempt &&
-        !found->second.address.empty() && !found->second.packed) {
-        this->weigh_speed(found->second, this->paces, between_pieces);
+        !found->second.address.empty() && !found->second.concentrated) {
+        this->evaluate_speed(found->second, this->paces, between_pieces);
     }
 }
 
-void dispatcher::weigh_speed(const request_state& state, speed_reference& reference, duration time)
+void dispatcher::evaluate_speed(const request_state& state, speed_reference& reference,
+                                duration time)
 {
-    if (state.what.is_service) {
+    if (state.request.is_service) {
         return;
     }
     if (!this->exposure.watches(state.version)) {
-        reference.learn(state.what.asked, state.size, time);
+        reference.learn(state.request.asked, state.size, time);
         return;
     }
-    const auto slow = reference.is_slow(state.what.asked, state.size, time);
+    const auto slow = reference.is_slow(state.request.asked, state.size, time);
     if (slow) {
         this->exposure.on_speed(state.version, *slow);
     }
@@ -415,14 +416,14 @@
 
 double dispatcher::size_factor(const request_state& state) const
 {
-    const bool is_small = state.size + 1 < state.what.sizes;
-    return is_small ? this->settings.small_model_work : 1.0;
+    const bool is_small = state.size + 1 < state.request.sizes;
+    return is_small ? this->settings.small_model_work_factor : 1.0;
 }
 
 // The shared parts of the prompt as the next or present attempt's model knows them.
 std::vector<prompt_part> dispatcher::parts_of(const request_state& state) const
 {
-    auto parts = state.what.parts;
+    auto parts = state.request.parts;
     for (auto& part : parts) {
         part.key = mix(part.key + state.size);
         part.work *= this->size_factor(state);
@@ -433,7 +434,7 @@
 // What the next or present attempt weighs on its endpoint.
 double dispatcher::work_of(const request_state& state) const
 {
-    return state.what.work.tokens * this->size_factor(state);
+    return state.request.work.tokens * this->size_factor(state);
 }
 
 void dispatcher::on_caller_gone(ticket_number ticket, instant now)
@@ -454,9 +455,9 @@
 
 void dispatcher::cancel_run(const request_state& state, instant now)
 {
-    const auto& request = state.what;
+    const auto& request = state.request;
     this->actions.emplace_back(cancel_attempt{request.ticket, state.attempt, state.address});
-    this->count_end(state, attempt_result::cancelled, duration::zero(), now);
+    this->record_attempt_end(state, attempt_result::cancelled, duration::zero(), now);
     this->queue.settle(request.team, request.work.tokens, request.work.tokens);
 }
 
@@ -465,7 +466,8 @@
 // it has not run.
 void dispatcher::end_stop(instant now)
 {
-    this->give_up_all_queued(passing(failure_code::stopping, soon, "this router has stopped"));
+    this->give_up_all_queued(
+        retryable_failure(failure_code::stopping, short_retry_delay, "this router has stopped"));
     std::vector<ticket_number> running;
     for (const auto& [ticket, state] : this->requests) {
         running.push_back(ticket);
@@ -473,12 +475,12 @@
     for (const auto ticket : running) {
         const auto& state = this->requests.at(ticket);
         this->cancel_run(state, now);
-        this->give_up(ticket, {failure_code::stopping, run_state::unknown, state.what.idempotent,
-                               soon, "this router stopped while the request ran"});
+        this->give_up(ticket, {failure_code::stopping, run_state::unknown, state.request.idempotent,
+                               short_retry_delay, "this router stopped while the request ran"});
     }
 }
 
-void dispatcher::on_tick(instant now, instant heard_until)
+void dispatcher::on_tick(instant now, instant events_read_until)
 {
     for (const auto& entry : this->queue.expire(now)) {
         const auto& state = this->requests.at(entry.ticket);
@@ -487,25 +489,26 @@
                       {failure_code::deadline_passed, run, true, this->expected_wait(),
                        "the deadline passed while the request was queued"});
     }
-    if (this->is_long_out_of_touch(now)) {
-        this->give_up_all_queued(passing(failure_code::config_unconfirmed, soon,
-                                         "the configuration in force cannot be confirmed"));
+    if (this->is_config_grace_over(now)) {
+        this->give_up_all_queued(
+            retryable_failure(failure_code::config_unconfirmed, short_retry_delay,
+                              "the configuration in force cannot be confirmed"));
     }
-    this->give_up_overdue(now, heard_until);
-    this->note_finished_work(0.0, now);
+    this->give_up_overdue(now, events_read_until);
+    this->record_finished_work(0.0, now);
     this->dispatch(now);
 }
 
 // Ends runs that are past their deadline: the caller has no use for the rest, the endpoint has.
-void dispatcher::give_up_overdue(instant now, instant heard_until)
+void dispatcher::give_up_overdue(instant now, instant events_read_until)
 {
-    if (now - this->overdue_checked < overdue_period) {
+    if (now - this->last_overdue_check < overdue_check_period) {
         return;
     }
-    this->overdue_checked = now;
+    this->last_overdue_check = now;
     std::vector<ticket_number> overdue;
     for (const auto& [ticket, state] : this->requests) {
-        if (!state.address.empty() && heard_until >= state.what.deadline) {
+        if (!state.address.empty() && events_read_until >= state.request.deadline) {
             overdue.push_back(ticket);
         }
     }
@@ -513,8 +516,8 @@
         const auto& state = this->requests.at(ticket);
         this->cancel_run(state, now);
         this->give_up(ticket,
-                      {failure_code::deadline_passed, run_state::unknown, state.what.idempotent,
-                       soon, "the deadline passed while the request ran"});
+                      {failure_code::deadline_passed, run_state::unknown, state.request.idempotent,
+                       short_retry_delay, "the deadline passed while the request ran"});
     }
 }
 
@@ -527,12 +530,12 @@
         }
     }
     for (const auto ticket : waiting) {
-        auto told = why;
+        auto cause = why;
         if (this->requests.at(ticket).may_have_run) {
-            told.run = run_state::unknown;
+            cause.run = run_state::unknown;
         }
         this->queue.remove(ticket);
-        this->give_up(ticket, std::move(told));
+        this->give_up(ticket, std::move(cause));
     }
 }
 
@@ -545,7 +548,8 @@
 double dispatcher::long_arrival_rate(const std::string& asked) const
 {
     const auto found = this->arrivals_by_target.find(asked);
-    return found == this->arrivals_by_target.end() ? 0.0 : found->second.that_fill.per_second;
+    return found == this->arrivals_by_target.end() ? 0.0
+                                                   : found->second.endpoint_filling.per_second;
 }
 
 duration dispatcher::expected_wait() const
@@ -557,17 +561,17 @@
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(seconds));
 }
 
-void dispatcher::settle_rate(counted_arrivals& counted, double seconds)
+void dispatcher::update_rate(arrival_counter& counted, double seconds)
 {
     const double rate = counted.in_period / seconds;
     counted.per_second += rate_gain * (rate - counted.per_second);
     counted.in_period = 0;
 }
 
-void dispatcher::note_finished_work(double work, instant now)
+void dispatcher::record_finished_work(double work, instant now)
 {
     this->work_in_period += work;
-    const auto elapsed = now - this->rate_since;
+    const auto elapsed = now - this->rate_period_start;
     if (elapsed < rate_period) {
         return;
     }
@@ -579,11 +583,11 @@
         this->work_per_second += (first ? 1.0 : rate_gain) * (newest - this->work_per_second);
     }
     for (auto& [asked, arrivals] : this->arrivals_by_target) {
-        settle_rate(arrivals.all, seconds);
-        settle_rate(arrivals.that_fill, seconds);
+        update_rate(arrivals.all, seconds);
+        update_rate(arrivals.endpoint_filling, seconds);
     }
     this->work_in_period = 0.0;
-    this->rate_since = now;
+    this->rate_period_start = now;
 }
 
 void dispatcher::give_up(ticket_number ticket, failure why)
@@ -595,7 +599,7 @@
 void dispatcher::forget(ticket_number ticket)
 {
     const auto found = this->requests.find(ticket);
-    const auto held = this->team_in_flight.find(found->second.what.team);
+    const auto held = this->team_in_flight.find(found->second.request.team);
     if (--held->second == 0) {
         this->team_in_flight.erase(held);
     }
--- a/decision/src/dispatcher_admission.cpp
+++ b/decision/src/dispatcher_admission.cpp
@@ -18,21 +18,22 @@
     case version_refusal::none:
         return std::nullopt;
     case version_refusal::unknown_model:
-        return lasting(failure_code::unknown_model,
-                       "no model, version or cascade is named " + asked);
+        return permanent_failure(failure_code::unknown_model,
+                                 "no model, version or cascade is named " + asked);
     case version_refusal::not_allowed:
-        return lasting(failure_code::not_allowed, "the team may not use " + asked);
+        return permanent_failure(failure_code::not_allowed, "the team may not use " + asked);
     case version_refusal::withdrawn:
-        return lasting(failure_code::version_withdrawn, asked + " is withdrawn");
+        return permanent_failure(failure_code::version_withdrawn, asked + " is withdrawn");
     case version_refusal::session_version_withdrawn:
-        return lasting(failure_code::session_ended,
-                       "the session's version is withdrawn; start a new session");
+        return permanent_failure(failure_code::session_ended,
+                                 "the session's version is withdrawn; start a new session");
     case version_refusal::session_version_not_allowed:
-        return lasting(failure_code::session_ended,
-                       "the team may no longer use the session's version; start a new session");
+        return permanent_failure(
+            failure_code::session_ended,
+            "the team may no longer use the session's version; start a new session");
     case version_refusal::no_version:
-        return passing(failure_code::no_endpoint, later,
-                       "no version of " + asked + " takes work at present");
+        return retryable_failure(failure_code::no_endpoint, long_retry_delay,
+                                 "no version of " + asked + " takes work at present");
     }
     return std::nullopt;
 }
@@ -45,14 +46,15 @@
         return refused;
     }
     if (!this->config) {
-        return passing(failure_code::config_unconfirmed, soon, "no configuration has come yet");
+        return retryable_failure(failure_code::config_unconfirmed, short_retry_delay,
+                                 "no configuration has come yet");
     }
-    if (this->is_long_out_of_touch(now)) {
-        return passing(failure_code::config_unconfirmed, soon,
-                       "the configuration in force cannot be confirmed");
+    if (this->is_config_grace_over(now)) {
+        return retryable_failure(failure_code::config_unconfirmed, short_retry_delay,
+                                 "the configuration in force cannot be confirmed");
     }
     request_state probe;
-    probe.what = request;
+    probe.request = request;
     if (auto refused = this->target_failure(probe, now)) {
         return refused;
     }
@@ -70,15 +72,17 @@
         return std::nullopt;
     }
     if (now >= this->stop->last_admission) {
-        return passing(failure_code::stopping, soon, "this router is stopping");
+        return retryable_failure(failure_code::stopping, short_retry_delay,
+                                 "this router is stopping");
     }
     if (request.on_loss == continuation::another_run) {
         return std::nullopt;
     }
-    const auto length = this->lengths.usual(kind_of(request));
+    const auto length = this->completion_times.ninetieth_percentile(kind_of(request));
     if (length && std::min(now + *length, request.deadline) > this->stop->end) {
-        return passing(failure_code::stopping, soon,
-                       "this router stops before an answer of the usual length would end");
+        return retryable_failure(
+            failure_code::stopping, short_retry_delay,
+            "this router stops before an answer of the usual length would end");
     }
     return std::nullopt;
 }
@@ -88,28 +92,28 @@
     const auto held = this->team_in_flight.find(request.team);
     const auto& owner = this->config->teams().at(request.team);
     if (held != this->team_in_flight.end() && held->second >= owner.max_in_flight) {
-        return passing(failure_code::team_limit, soon,
-                       "the team has " + std::to_string(held->second) +
-                           " requests in flight, allowed are " +
-                           std::to_string(owner.max_in_flight));
+        return retryable_failure(failure_code::team_limit, short_retry_delay,
+                                 "the team has " + std::to_string(held->second) +
+                                     " requests in flight, allowed are " +
+                                     std::to_string(owner.max_in_flight));
     }
     if (now >= request.deadline) {
-        return passing(failure_code::deadline_passed, duration::zero(),
-                       "the deadline had passed on arrival");
+        return retryable_failure(failure_code::deadline_passed, duration::zero(),
+                                 "the deadline had passed on arrival");
     }
     // Work that cannot start before its deadline is refused now: queueing it would only delay the
     // refusal, and its place would be taken from work that can still be done.
     const auto wait = this->expected_wait();
     if (now + wait > request.deadline || wait > this->settings.max_queue_wait) {
-        return passing(failure_code::overloaded, wait,
-                       "the work queued ahead takes longer than the deadline");
+        return retryable_failure(failure_code::overloaded, wait,
+                                 "the work queued ahead takes longer than the deadline");
     }
     return std::nullopt;
 }
 
-rollout_choice dispatcher::ask_version(const request_state& state, instant now) const
+rollout_choice dispatcher::choose_version(const request_state& state, instant now) const
 {
-    const auto& request = state.what;
+    const auto& request = state.request;
     version_question question;
     question.current = this->config.get();
     question.caller = &this->config->teams().at(request.team);
@@ -138,50 +142,53 @@
 std::optional<failure> dispatcher::caller_failure(const arrival& request) const
 {
     if (this->config->teams().count(request.team) == 0) {
-        return lasting(failure_code::not_allowed,
-                       "the team " + request.team + " is no longer configured");
+        return permanent_failure(failure_code::not_allowed,
+                                 "the team " + request.team + " is no longer configured");
     }
     if (request.key_sha256.empty()) {
         return std::nullopt;
     }
     const auto* holder = this->config->find_team_by_key(request.key_sha256);
     if (holder == nullptr || holder->name != request.team) {
-        return lasting(failure_code::not_allowed,
-                       "the key is no longer one of the team " + request.team);
+        return permanent_failure(failure_code::not_allowed,
+                                 "the key is no longer one of the team " + request.team);
     }
     return std::nullopt;
 }
 
 std::optional<failure> dispatcher::target_failure(const request_state& state, instant now) const
 {
-    const auto& request = state.what;
+    const auto& request = state.request;
     if (auto refused = this->caller_failure(request)) {
         return refused;
     }
     const auto& owner = this->config->teams().at(request.team);
-    if (this->suspects.look(request.fingerprint, now) ==
+    if (this->suspects.status_of(request.fingerprint, now) ==
         suspect_table::suspect_status::quarantined) {
-        return lasting(failure_code::request_quarantined,
-                       "endpoints that ran this request have crashed");
+        return permanent_failure(failure_code::request_quarantined,
+                                 "endpoints that ran this request have crashed");
     }
     std::string target = request.asked;
     if (request.is_service) {
         const auto found = this->config->services().find(request.asked);
         if (found == this->config->services().end()) {
-            return lasting(failure_code::unknown_model, "no service is named " + request.asked);
+            return permanent_failure(failure_code::unknown_model,
+                                     "no service is named " + request.asked);
         }
         if (!found->second.teams.matches(owner.tags)) {
-            return lasting(failure_code::not_allowed, "the team may not call " + request.asked);
+            return permanent_failure(failure_code::not_allowed,
+                                     "the team may not call " + request.asked);
         }
     } else {
-        const auto answer = this->ask_version(state, now).answer;
+        const auto answer = this->choose_version(state, now).answer;
         if (auto refused = to_failure(answer, request.asked)) {
             return refused;
         }
         target = answer.version;
     }
     if (!this->table.serves(this->place(state, target, now), now)) {
-        return passing(failure_code::no_endpoint, later, "no endpoint serves " + target);
+        return retryable_failure(failure_code::no_endpoint, long_retry_delay,
+                                 "no endpoint serves " + target);
     }
     return std::nullopt;
 }
--- a/decision/src/fair_queue.cpp
+++ b/decision/src/fair_queue.cpp
@@ -16,10 +16,10 @@
 
 // Bounds on what callers and operators state, so that no division overflows and every entry moves
 // its team's account on.
-constexpr double least_weight = 1e-3;
-constexpr double least_work = 1.0;
-constexpr double least_share = 0.01;
-constexpr std::size_t least_accounts_swept = 64;
+constexpr double min_weight = 1e-3;
+constexpr double min_work = 1.0;
+constexpr double min_share = 0.01;
+constexpr std::size_t min_sweep_threshold = 64;
 
 struct by_urgency;
 struct by_deadline;
@@ -122,7 +122,7 @@
 public:
     explicit state(fair_queue_settings bounds) : settings(bounds)
     {
-        this->settings.lookup_share = std::clamp(this->settings.lookup_share, least_share, 1.0);
+        this->settings.lookup_share = std::clamp(this->settings.lookup_share, min_share, 1.0);
     }
 
     bool push(queue_entry entry);
@@ -153,7 +153,7 @@
 
     double virtual_time = 0.0;
     std::uint64_t arrivals = 0;
-    std::size_t sweep_at = least_accounts_swept;
+    std::size_t sweep_threshold = min_sweep_threshold;
 };
 
 bool fair_queue::state::push(queue_entry entry)
@@ -163,8 +163,8 @@
     if (full || this->waiting.count(entry.ticket) > 0) {
         return false;
     }
-    entry.weight = std::max(entry.weight, least_weight);
-    entry.work = std::max(entry.work, least_work);
+    entry.weight = std::max(entry.weight, min_weight);
+    entry.work = std::max(entry.work, min_work);
     this->sweep_accounts();
     team_account& account = this->accounts[entry.team];
     this->open_account(account, entry.kind);
@@ -218,7 +218,7 @@
     }
     team_account& account = found->second;
     account.unsettled -= account.unsettled > 0 ? 1 : 0;
-    const double charged = std::max(estimated, least_work);
+    const double charged = std::max(estimated, min_work);
     account.served_until += (std::max(actual, 0.0) - charged) / account.weight;
     this->reorder(account);
 }
@@ -296,7 +296,7 @@
 // number of accounts double.
 void fair_queue::state::sweep_accounts()
 {
-    if (this->accounts.size() < this->sweep_at) {
+    if (this->accounts.size() < this->sweep_threshold) {
         return;
     }
     for (auto at = this->accounts.begin(); at != this->accounts.end();) {
@@ -305,7 +305,7 @@
                           account.served_until <= this->virtual_time;
         at = idle ? this->accounts.erase(at) : std::next(at);
     }
-    this->sweep_at = std::max(least_accounts_swept, 2 * this->accounts.size());
+    this->sweep_threshold = std::max(min_sweep_threshold, 2 * this->accounts.size());
 }
 
 fair_queue::fair_queue(fair_queue_settings settings)
--- a/decision/src/response_times.cpp
+++ b/decision/src/response_times.cpp
@@ -6,36 +6,36 @@
 
 namespace {
 
-constexpr std::size_t least_known = 8;
+constexpr std::size_t min_samples = 8;
 
 // Routes come and go with each configuration, for as long as the process runs. What is dropped is
 // known again after eight answers.
-constexpr std::size_t most_kinds = 1024;
+constexpr std::size_t max_kinds = 1024;
 
 } // namespace
 
-void answer_lengths::learn(const std::string& kind, duration length)
+void response_times::record(const std::string& kind, duration time)
 {
-    if (this->kinds.size() >= most_kinds && this->kinds.count(kind) == 0) {
+    if (this->kinds.size() >= max_kinds && this->kinds.count(kind) == 0) {
         this->kinds.clear();
     }
-    auto& known = this->kinds[kind];
-    known.lengths[known.learned % most_kept] = length;
-    ++known.learned;
+    auto& times = this->kinds[kind];
+    times.samples[times.recorded % max_samples] = time;
+    ++times.recorded;
 }
 
-std::optional<duration> answer_lengths::usual(const std::string& kind) const
+std::optional<duration> response_times::ninetieth_percentile(const std::string& kind) const
 {
-    const auto known = this->kinds.find(kind);
-    if (known == this->kinds.end() || known->second.learned < least_known) {
+    const auto times = this->kinds.find(kind);
+    if (times == this->kinds.end() || times->second.recorded < min_samples) {
         return std::nullopt;
     }
-    auto lengths = known->second.lengths;
-    const auto count = std::min(known->second.learned, most_kept);
+    auto samples = times->second.samples;
+    const auto count = std::min(times->second.recorded, max_samples);
     const auto place = count * 9 / 10;
-    const auto end = lengths.begin() + static_cast<std::ptrdiff_t>(count);
-    std::nth_element(lengths.begin(), lengths.begin() + static_cast<std::ptrdiff_t>(place), end);
-    return lengths[place];
+    const auto end = samples.begin() + static_cast<std::ptrdiff_t>(count);
+    std::nth_element(samples.begin(), samples.begin() + static_cast<std::ptrdiff_t>(place), end);
+    return samples[place];
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/retry_budget.cpp
+++ b/decision/src/retry_budget.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 // Shares such as 0.1 add up to a hair under a whole retry.
-constexpr double rounding = 1e-9;
+constexpr double rounding_tolerance = 1e-9;
 
 // Retries that were paid for lately and are kept, at most. With one alone, none would be whole a
 // moment later, since they run out evenly.
-constexpr double most_paid = 2.0;
+constexpr double max_earned = 2.0;
 
 bool is_whole(double retries)
 {
-    return retries + rounding >= 1.0;
+    return retries + rounding_tolerance >= 1.0;
 }
 
 } // namespace
@@ -35,7 +35,7 @@
     if (this->burst > 0.0) {
         this->saved = std::min(this->burst, this->saved + retries);
     } else {
-        this->set_paid(std::min(most_paid, this->paid_at(now) + retries), now);
+        this->set_earned(std::min(max_earned, this->earned_at(now) + retries), now);
     }
 }
 
@@ -47,22 +47,22 @@
     if (is_whole(this->saved)) {
         this->saved = std::max(0.0, this->saved - 1.0);
     } else {
-        this->set_paid(std::max(0.0, this->paid_at(now) - 1.0), now);
+        this->set_earned(std::max(0.0, this->earned_at(now) - 1.0), now);
     }
     return true;
 }
 
 bool retry_budget::can_spend(instant now) const
 {
-    return is_whole(this->saved) || is_whole(this->paid_at(now));
+    return is_whole(this->saved) || is_whole(this->earned_at(now));
 }
 
-void retry_budget::owe(instant now)
+void retry_budget::debit(instant now)
 {
     if (this->burst > 0.0) {
         this->saved = std::max(-this->burst, this->saved - 1.0);
     } else {
-        this->set_paid(std::max(-1.0, this->paid_at(now) - 1.0), now);
+        this->set_earned(std::max(-1.0, this->earned_at(now) - 1.0), now);
     }
 }
 
@@ -72,28 +72,30 @@
     this->saved = std::clamp(this->saved, -this->burst, this->burst);
 }
 
-// What was paid runs out evenly, so that nothing is left of what came more than `paid_time` ago.
-// What is owed does not.
-double retry_budget::paid_at(instant now) const
+// What was paid runs out evenly, so that nothing is left of what came more than `earned_lifetime`
+// ago. What is owed does not.
+double retry_budget::earned_at(instant now) const
 {
-    const auto age = std::chrono::duration<double>(now - this->paid_since);
-    const double gone = age / std::chrono::duration<double>(paid_time);
-    return this->paid <= 0.0 ? this->paid : std::max(0.0, this->paid - most_paid * gone);
+    const auto age = std::chrono::duration<double>(now - this->earned_since);
+    const double elapsed_share = age / std::chrono::duration<double>(earned_lifetime);
+    return this->earned <= 0.0 ? this->earned
+                               : std::max(0.0, this->earned - max_earned * elapsed_share);
 }
 
-void retry_budget::set_paid(double retries, instant now)
+void retry_budget::set_earned(double retries, instant now)
 {
-    this->paid = retries;
-    this->paid_since = now;
+    this->earned = retries;
+    this->earned_since = now;
 }
 
-double router_share_of_burst(double fleets_burst, double most, std::size_t rank, std::size_t size)
+double router_share_of_burst(double fleet_burst, double max_share, std::size_t rank,
+                             std::size_t size)
 {
-    const double part = fleets_burst / static_cast<double>(size);
-    if (part >= 1.0) {
-        return std::min(part, std::max(1.0, most));
+    const double share = fleet_burst / static_cast<double>(size);
+    if (share >= 1.0) {
+        return std::min(share, std::max(1.0, max_share));
     }
-    return static_cast<double>(rank) + 1.0 <= std::floor(fleets_burst) ? 1.0 : 0.0;
+    return static_cast<double>(rank) + 1.0 <= std::floor(fleet_burst) ? 1.0 : 0.0;
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/suspects.cpp
+++ b/decision/src/suspects.cpp
@@ -37,33 +37,33 @@
 public:
     explicit state(suspect_settings bounds) : settings(bounds) {}
 
-    [[nodiscard]] suspect_status look(std::uint64_t fingerprint, instant now) const;
-    void put(std::uint64_t fingerprint, suspect_status held, instant now);
+    [[nodiscard]] suspect_status status_of(std::uint64_t fingerprint, instant now) const;
+    void set_status(std::uint64_t fingerprint, suspect_status status, instant now);
     void erase(std::uint64_t fingerprint);
-    void tell(std::uint64_t fingerprint, suspect_status held);
+    void record_change(std::uint64_t fingerprint, suspect_status status);
 
     suspect_settings settings;
     std::unordered_map<std::uint64_t, std::pair<suspect_status, instant>>
         records; // with their expiry
     std::set<std::pair<instant, std::uint64_t>> by_expiry;
-    std::vector<std::pair<std::uint64_t, suspect_status>> news;
+    std::vector<std::pair<std::uint64_t, suspect_status>> changes;
 };
 
-suspect_table::suspect_status suspect_table::state::look(std::uint64_t fingerprint,
-                                                         instant now) const
+suspect_table::suspect_status suspect_table::state::status_of(std::uint64_t fingerprint,
+                                                              instant now) const
 {
     const auto found = this->records.find(fingerprint);
     const bool holds = found != this->records.end() && now < found->second.second;
     return holds ? found->second.first : suspect_status::clear;
 }
 
-void suspect_table::state::put(std::uint64_t fingerprint, suspect_status held, instant now)
+void suspect_table::state::set_status(std::uint64_t fingerprint, suspect_status status, instant now)
 {
     this->erase(fingerprint);
-    const bool quarantined = held == suspect_status::quarantined;
+    const bool quarantined = status == suspect_status::quarantined;
     const instant until =
         now + (quarantined ? this->settings.quarantine : this->settings.suspicion);
-    this->records.emplace(fingerprint, std::make_pair(held, until));
+    this->records.emplace(fingerprint, std::make_pair(status, until));
     this->by_expiry.emplace(until, fingerprint);
     // Of too many, those go that would have expired first; suspicions before quarantines.
     while (!this->by_expiry.empty() && (this->by_expiry.size() > this->settings.max_entries ||
@@ -81,10 +81,10 @@
     }
 }
 
-void suspect_table::state::tell(std::uint64_t fingerprint, suspect_status held)
+void suspect_table::state::record_change(std::uint64_t fingerprint, suspect_status status)
 {
-    if (this->news.size() < this->settings.max_entries) {
-        this->news.emplace_back(fingerprint, held);
+    if (this->changes.size() < this->settings.max_entries) {
+        this->changes.emplace_back(fingerprint, status);
     }
 }
 
@@ -94,25 +94,25 @@
 
 suspect_table::~suspect_table() = default;
 
-suspect_table::suspect_status suspect_table::look(std::uint64_t fingerprint, instant now) const
+suspect_table::suspect_status suspect_table::status_of(std::uint64_t fingerprint, instant now) const
 {
-    return this->inner->look(fingerprint, now);
+    return this->inner->status_of(fingerprint, now);
 }
 
 std::vector<std::uint64_t> suspect_table::on_crash(const std::vector<std::uint64_t>& in_flight,
                                                    instant now)
 {
     // A request may run twice on one endpoint; that is one strike.
-    const std::set<std::uint64_t> struck(in_flight.begin(), in_flight.end());
+    const std::set<std::uint64_t> crashed_requests(in_flight.begin(), in_flight.end());
     std::vector<std::uint64_t> suspects;
-    for (const std::uint64_t name : struck) {
-        const suspect_status before = this->look(name, now);
+    for (const std::uint64_t name : crashed_requests) {
+        const suspect_status before = this->status_of(name, now);
         if (before == suspect_status::suspect) {
             suspects.push_back(name);
         }
         if (before == suspect_status::clear) {
-            this->inner->put(name, suspect_status::suspect, now);
-            this->inner->tell(name, suspect_status::suspect);
+            this->inner->set_status(name, suspect_status::suspect, now);
+            this->inner->record_change(name, suspect_status::suspect);
         }
     }
     // Two suspects on one endpoint, as when another router's news came too late to keep them apart:
@@ -120,35 +120,36 @@
     if (suspects.size() != 1) {
         return {};
     }
-    this->inner->put(suspects.front(), suspect_status::quarantined, now);
-    this->inner->tell(suspects.front(), suspect_status::quarantined);
+    this->inner->set_status(suspects.front(), suspect_status::quarantined, now);
+    this->inner->record_change(suspects.front(), suspect_status::quarantined);
     return suspects;
 }
 
 void suspect_table::on_finished(std::uint64_t fingerprint, instant now)
 {
-    if (this->look(fingerprint, now) == suspect_status::suspect) {
+    if (this->status_of(fingerprint, now) == suspect_status::suspect) {
         this->inner->erase(fingerprint);
-        this->inner->tell(fingerprint, suspect_status::clear);
+        this->inner->record_change(fingerprint, suspect_status::clear);
     }
 }
 
-void suspect_table::learn(std::uint64_t fingerprint, suspect_status told, instant now)
+void suspect_table::apply_peer_status(std::uint64_t fingerprint, suspect_status reported,
+                                      instant now)
 {
     // News may come late and out of order; none lifts a quarantine.
-    if (this->look(fingerprint, now) == suspect_status::quarantined) {
+    if (this->status_of(fingerprint, now) == suspect_status::quarantined) {
         return;
     }
-    if (told == suspect_status::clear) {
+    if (reported == suspect_status::clear) {
         this->inner->erase(fingerprint);
         return;
     }
-    this->inner->put(fingerprint, told, now);
+    this->inner->set_status(fingerprint, reported, now);
 }
 
 std::vector<std::pair<std::uint64_t, suspect_table::suspect_status>> suspect_table::take_changes()
 {
-    return std::exchange(this->inner->news, {});
+    return std::exchange(this->inner->changes, {});
 }
 
 std::size_t suspect_table::size() const
--- a/decision/test/changed_dispatch_test.cpp
+++ b/decision/test/changed_dispatch_test.cpp
@@ -18,7 +18,7 @@
 constexpr instant now{seconds(100)};
 
 // What the operator has stated. Tests take parts of it away while requests are under way.
-struct stated {
+struct operator_objects {
     bool has_team = true;
     std::vector<std::string> keys = {"digest"};
     std::string other_teams_key = "another";
@@ -28,7 +28,7 @@
     std::uint64_t revision = 1;
 };
 
-configuration_ptr make_configuration(const stated& from)
+configuration_ptr make_configuration(const operator_objects& from)
 {
     configuration_builder builder;
     builder.revision(from.revision);
@@ -108,7 +108,7 @@
 // caller gets one answer or one refusal, and a refusal says truly whether the request may have run.
 TEST_GROUP(changed_dispatch)
 {
-    stated operators;
+    operator_objects configured;
     std::unique_ptr<dispatcher> router;
 
     void setup() override
@@ -125,7 +125,7 @@
         dispatcher_settings settings;
         settings.endpoints.zone = "osu";
         this->router = std::make_unique<dispatcher>(settings);
-        this->router->on_configuration(make_configuration(this->operators), now);
+        this->router->on_configuration(make_configuration(this->configured), now);
         this->router->on_hosts(make_hosts(), now);
         this->router->on_config_confirmed(instant::max(), now);
         static_cast<void>(this->router->take_actions());
@@ -133,14 +133,14 @@
 
     void change()
     {
-        ++this->operators.revision;
-        this->router->on_configuration(make_configuration(this->operators), now);
+        ++this->configured.revision;
+        this->router->on_configuration(make_configuration(this->configured), now);
     }
 
     // All places of the endpoints are taken: what comes next waits.
     void fill_endpoints()
     {
-        this->operators.slots = 1;
+        this->configured.slots = 1;
         this->make();
         for (ticket_number ticket = 101; ticket <= 103; ++ticket) {
             this->start_of(make_request(ticket));
@@ -190,7 +190,7 @@
 TEST(changed_dispatch, a_request_that_its_endpoint_refuses_is_answered_though_its_team_is_gone)
 {
     const auto start = this->start_of(make_request(1));
-    this->operators.has_team = false;
+    this->configured.has_team = false;
     this->change();
     this->end(start, attempt_result::refused);
     this->check_refused(failure_code::not_allowed, run_state::not_run);
@@ -200,7 +200,7 @@
 TEST(changed_dispatch, a_request_that_is_lost_with_its_endpoint_is_answered_though_its_team_is_gone)
 {
     const auto start = this->start_of(make_request(1));
-    this->operators.has_team = false;
+    this->configured.has_team = false;
     this->change();
     this->end(start, attempt_result::failed);
     this->check_refused(failure_code::not_allowed, run_state::unknown);
@@ -214,7 +214,7 @@
     request.streamed = true;
     const auto start = this->start_of(request);
     CHECK_TRUE(this->router->accepts_answer(1, start.attempt, 100.0, now));
-    this->operators.has_team = false;
+    this->configured.has_team = false;
     this->change();
     attempt_end broken;
     broken.ticket = 1;
@@ -229,10 +229,10 @@
 {
     const auto first = this->start_of(make_request(1));
     const auto second = this->start_of(make_call(2));
-    this->operators = {};
-    this->operators.has_team = false;
-    this->operators.has_version = false;
-    this->operators.has_service = false;
+    this->configured = {};
+    this->configured.has_team = false;
+    this->configured.has_version = false;
+    this->configured.has_service = false;
     this->change();
     this->end(first, attempt_result::finished);
     this->end(second, attempt_result::finished);
@@ -250,7 +250,7 @@
     this->fill_endpoints();
     this->router->on_arrival(make_request(1), now);
     CHECK_EQUAL(1U, this->router->queued());
-    this->operators.has_team = false;
+    this->configured.has_team = false;
     this->change();
     this->check_refused(failure_code::not_allowed, run_state::not_run);
 }
@@ -259,7 +259,7 @@
 {
     this->fill_endpoints();
     this->router->on_arrival(make_request(1), now);
-    this->operators.has_version = false;
+    this->configured.has_version = false;
     this->change();
     this->check_refused(failure_code::unknown_model, run_state::not_run);
 }
@@ -270,7 +270,7 @@
 {
     this->fill_endpoints();
     this->router->on_arrival(make_request(1), now);
-    this->operators.keys.clear();
+    this->configured.keys.clear();
     this->change();
     this->check_refused(failure_code::not_allowed, run_state::not_run);
 }
@@ -281,8 +281,8 @@
 {
     this->fill_endpoints();
     this->router->on_arrival(make_request(1), now);
-    this->operators.keys.clear();
-    this->operators.other_teams_key = "digest";
+    this->configured.keys.clear();
+    this->configured.other_teams_key = "digest";
     this->change();
     this->check_refused(failure_code::not_allowed, run_state::not_run);
 }
@@ -292,7 +292,7 @@
 TEST(changed_dispatch, a_lost_request_is_not_repeated_when_its_key_is_revoked)
 {
     const auto start = this->start_of(make_request(1));
-    this->operators.keys.clear();
+    this->configured.keys.clear();
     this->change();
     this->end(start, attempt_result::failed);
     this->check_refused(failure_code::not_allowed, run_state::unknown);
@@ -301,11 +301,11 @@
 // The team gets a key beside the one that the caller has used, and loses a third one.
 TEST(changed_dispatch, a_waiting_request_runs_when_other_keys_of_its_team_change)
 {
-    this->operators.keys = {"digest", "third"};
+    this->configured.keys = {"digest", "third"};
     this->fill_endpoints();
     this->router->on_arrival(make_request(1), now);
-    this->operators.keys = {"second", "digest"};
-    this->operators.slots = 64;
+    this->configured.keys = {"second", "digest"};
+    this->configured.slots = 64;
     this->change();
     const auto actions = this->router->take_actions();
     CHECK_EQUAL(1U, actions.size());
@@ -319,8 +319,8 @@
     auto request = make_request(1);
     request.key_sha256.clear();
     this->router->on_arrival(request, now);
-    this->operators.keys.clear();
-    this->operators.slots = 64;
+    this->configured.keys.clear();
+    this->configured.slots = 64;
     this->change();
     const auto actions = this->router->take_actions();
     CHECK_EQUAL(1U, actions.size());
@@ -332,7 +332,7 @@
 TEST(changed_dispatch, a_call_that_its_endpoint_refuses_is_said_not_to_have_run_for_a_service_gone)
 {
     const auto start = this->start_of(make_call(1));
-    this->operators.has_service = false;
+    this->configured.has_service = false;
     this->change();
     this->end(start, attempt_result::refused);
     this->check_refused(failure_code::unknown_model, run_state::not_run);
@@ -344,11 +344,11 @@
 {
     const auto for_team = this->start_of(make_request(1));
     const auto for_version = this->start_of(make_request(2));
-    this->operators.has_team = false;
+    this->configured.has_team = false;
     this->change();
     CHECK_TRUE(this->router->accepts_answer(1, for_team.attempt, 10.0, now));
-    this->operators.has_team = true;
-    this->operators.has_version = false;
+    this->configured.has_team = true;
+    this->configured.has_version = false;
     this->change();
     CHECK_TRUE(this->router->accepts_answer(2, for_version.attempt, 10.0, now));
     CHECK_EQUAL(0U, this->router->take_actions().size());
@@ -360,11 +360,11 @@
 {
     this->start_of(make_request(1));
     CHECK_TRUE(this->router->can_retry(1, now));
-    this->operators.has_version = false;
+    this->configured.has_version = false;
     this->change();
     CHECK_FALSE(this->router->can_retry(1, now));
-    this->operators.has_version = true;
-    this->operators.has_team = false;
+    this->configured.has_version = true;
+    this->configured.has_team = false;
     this->change();
     CHECK_FALSE(this->router->can_retry(1, now));
 }
@@ -375,22 +375,22 @@
 TEST(changed_dispatch, no_schedule_of_changes_leaves_a_caller_without_an_answer)
 {
     const bool holds = rc::check("one answer", [this] {
-        this->operators = {};
-        this->operators.slots = 2;
+        this->configured = {};
+        this->configured.slots = 2;
         this->make();
         auto clock = now;
         std::map<ticket_number, start_attempt> running;
         std::map<ticket_number, int> finals;
         std::map<ticket_number, bool> may_have_run;
         ticket_number last = 0;
-        const auto absorb = [&] {
+        const auto process_actions = [&] {
             for (const auto& action : this->router->take_actions()) {
                 if (const auto* start = std::get_if<start_attempt>(&action)) {
                     const bool is_call = start->version == "booking";
-                    RC_ASSERT(this->operators.has_team);
-                    RC_ASSERT(!this->operators.keys.empty());
+                    RC_ASSERT(this->configured.has_team);
+                    RC_ASSERT(!this->configured.keys.empty());
                     const bool is_there =
-                        is_call ? this->operators.has_service : this->operators.has_version;
+                        is_call ? this->configured.has_service : this->configured.has_version;
                     RC_ASSERT(is_there);
                     running[start->ticket] = *start;
                 } else if (const auto* done = std::get_if<complete_request>(&action)) {
@@ -433,22 +433,22 @@
                 this->end(attempt, result, clock);
             } else if (step >= 9 && step < 13) {
                 if (step == 12) {
-                    this->operators.keys.resize(1 - this->operators.keys.size(), "digest");
+                    this->configured.keys.resize(1 - this->configured.keys.size(), "digest");
                 }
-                auto& taken = step == 9    ? this->operators.has_team
-                              : step == 10 ? this->operators.has_version
-                                           : this->operators.has_service;
+                auto& taken = step == 9    ? this->configured.has_team
+                              : step == 10 ? this->configured.has_version
+                                           : this->configured.has_service;
                 taken = !taken;
-                this->operators.slots = step == 12 ? 1 : 2;
-                ++this->operators.revision;
-                this->router->on_configuration(make_configuration(this->operators), clock);
+                this->configured.slots = step == 12 ? 1 : 2;
+                ++this->configured.revision;
+                this->router->on_configuration(make_configuration(this->configured), clock);
             }
-            absorb();
+            process_actions();
             this->router->on_tick(clock);
-            absorb();
+            process_actions();
         }
         this->router->end_stop(clock);
-        absorb();
+        process_actions();
         for (ticket_number ticket = 1; ticket <= last; ++ticket) {
             RC_ASSERT(finals[ticket] == 1);
         }
--- a/decision/test/dispatcher_test.cpp
+++ b/decision/test/dispatcher_test.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-struct world {
+struct test_setup {
     std::vector<std::string> withdrawn;
     int hosts = 3;
     std::uint32_t slots = 4;
     std::uint64_t revision = 1;
 };
 
-version make_version(const std::string& name, const world& from)
+version make_version(const std::string& name, const test_setup& from)
 {
     version made;
     made.name = name;
@@ -33,7 +33,7 @@
     return made;
 }
 
-configuration_ptr make_configuration(const world& from)
+configuration_ptr make_configuration(const test_setup& from)
 {
     team deposits;
     deposits.name = "deposits";
@@ -57,7 +57,7 @@
         .build();
 }
 
-std::vector<endpoint_host> make_hosts(const world& from)
+std::vector<endpoint_host> make_hosts(const test_setup& from)
 {
     std::vector<endpoint_host> hosts;
     for (int i = 1; i <= from.hosts; ++i) {
@@ -87,7 +87,7 @@
 
 TEST_GROUP(dispatcher_test)
 {
-    world current;
+    test_setup current;
     instant now{seconds(100)};
 
     std::unique_ptr<dispatcher> make()
@@ -485,9 +485,9 @@
     auto end = ended(first, attempt_result::failed);
     end.run_lost = true;
     router->on_attempt_end(end, now);
-    const auto told = pick<announce_suspect_status>(router->take_actions());
-    LONGS_EQUAL(1, told.size());
-    CHECK_EQUAL(this->request(1).fingerprint, told[0].fingerprint);
+    const auto announced = pick<announce_suspect_status>(router->take_actions());
+    LONGS_EQUAL(1, announced.size());
+    CHECK_EQUAL(this->request(1).fingerprint, announced[0].fingerprint);
 }
 
 // One request crashes whatever runs it, and its caller sends it again and again. It takes one
@@ -499,27 +499,27 @@
     current.hosts = 8;
     current.slots = 4;
     const auto router = this->make();
-    constexpr std::uint64_t poison = 13;
+    constexpr std::uint64_t crashing_fingerprint = 13;
     std::map<ticket_number, start_attempt> running;
     std::set<std::string> crashed;
     std::set<ticket_number> completed;
-    std::set<ticket_number> poisoned;
-    std::size_t refused_poison = 0;
-    const auto absorb = [&] {
+    std::set<ticket_number> crashing_tickets;
+    std::size_t refused_crashing = 0;
+    const auto process_actions = [&] {
         for (const auto& one : router->take_actions()) {
             if (const auto* start = std::get_if<start_attempt>(&one)) {
                 running[start->ticket] = *start;
             } else if (const auto* done = std::get_if<complete_request>(&one)) {
                 completed.insert(done->ticket);
             } else if (const auto* given_up = std::get_if<give_up_request>(&one)) {
-                refused_poison += poisoned.count(given_up->ticket);
+                refused_crashing += crashing_tickets.count(given_up->ticket);
             }
         }
     };
-    const auto crash_where_poison_runs = [&] {
+    const auto crash_endpoint_of_crashing_request = [&] {
         std::string address;
         for (const auto& [ticket, start] : running) {
-            address = poisoned.count(ticket) > 0 ? start.address : address;
+            address = crashing_tickets.count(ticket) > 0 ? start.address : address;
         }
         if (address.empty()) {
             return;
@@ -538,35 +538,35 @@
             end.run_lost = true;
             router->on_attempt_end(end, now);
         }
-        absorb();
+        process_actions();
     };
     for (ticket_number ticket = 1; ticket <= 20; ++ticket) {
         auto made = this->request(ticket);
         if (ticket == 10) {
-            made.fingerprint = poison;
-            poisoned.insert(ticket);
+            made.fingerprint = crashing_fingerprint;
+            crashing_tickets.insert(ticket);
         }
         router->on_arrival(made, now);
     }
-    absorb();
+    process_actions();
     for (ticket_number resend = 101; resend < 110; ++resend) {
-        crash_where_poison_runs();
-        crash_where_poison_runs();
+        crash_endpoint_of_crashing_request();
+        crash_endpoint_of_crashing_request();
         auto made = this->request(resend);
-        made.fingerprint = poison;
-        poisoned.insert(resend);
+        made.fingerprint = crashing_fingerprint;
+        crashing_tickets.insert(resend);
         router->on_arrival(made, now);
-        absorb();
+        process_actions();
     }
     while (!running.empty()) {
         const auto start = running.begin()->second;
         running.erase(running.begin());
         router->on_attempt_end(ended(start, attempt_result::finished), now);
-        absorb();
+        process_actions();
     }
     LONGS_EQUAL(2, crashed.size());
     LONGS_EQUAL(19, completed.size());
-    LONGS_EQUAL(10, refused_poison);
+    LONGS_EQUAL(10, refused_crashing);
 }
 
 // Two routers had requests on the engine that crashed. Each tries its suspects where the other
@@ -600,7 +600,7 @@
 TEST(dispatcher_test, no_schedule_breaks_the_rules_of_dispatch)
 {
     const bool holds = rc::check("rules of dispatch", [this] {
-        world here;
+        test_setup here;
         here.slots = 2;
         instant clock{seconds(100)};
         dispatcher router{dispatcher_settings{}};
@@ -611,16 +611,16 @@
         std::map<ticket_number, start_attempt> running;
         std::map<ticket_number, int> finals;
         std::set<ticket_number> may_have_run;
-        std::set<ticket_number> once_only;
+        std::set<ticket_number> non_idempotent;
         ticket_number next = 1;
-        const auto absorb = [&] {
+        const auto process_actions = [&] {
             for (const auto& one : router.take_actions()) {
                 if (const auto* start = std::get_if<start_attempt>(&one)) {
                     const bool withdrawn =
                         !here.withdrawn.empty() && start->version == here.withdrawn[0];
                     RC_ASSERT(!withdrawn);
                     RC_ASSERT(in_touch);
-                    RC_ASSERT(once_only.count(start->ticket) == 0 ||
+                    RC_ASSERT(non_idempotent.count(start->ticket) == 0 ||
                               may_have_run.count(start->ticket) == 0);
                     running[start->ticket] = *start;
                 } else if (const auto* done = std::get_if<complete_request>(&one)) {
@@ -643,7 +643,7 @@
                 made.asked = step == 1 ? "adjudicator" : made.asked;
                 made.deadline = clock + seconds(step == 2 ? 1 : 30);
                 if (!made.idempotent) {
-                    once_only.insert(next);
+                    non_idempotent.insert(next);
                 }
                 ++next;
                 router.on_arrival(made, clock);
@@ -669,12 +669,12 @@
                 router.on_config_confirmed(in_touch ? clock + std::chrono::hours(1) : clock, clock);
             }
             router.on_tick(clock);
-            absorb();
+            process_actions();
         }
         in_touch = true;
         router.on_config_confirmed(clock + std::chrono::hours(1), clock);
         router.on_tick(clock + std::chrono::minutes(5));
-        absorb();
+        process_actions();
         for (ticket_number ticket = 1; ticket < next; ++ticket) {
             RC_ASSERT(finals[ticket] == 1);
         }
--- a/decision/test/fair_queue_test.cpp
+++ b/decision/test/fair_queue_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr instant far_off{std::chrono::hours(1)};
+constexpr instant distant_deadline{std::chrono::hours(1)};
 constexpr auto lookup = work_class::lookup;
 constexpr auto reading = work_class::reading;
 
@@ -24,7 +24,7 @@
 
 queue_entry entry_of(ticket_number ticket, const std::string& team, work_class kind, double work)
 {
-    return {ticket, team, 1.0, kind, 5, work, far_off};
+    return {ticket, team, 1.0, kind, 5, work, distant_deadline};
 }
 
 // A queue whose tickets are numbered as they come, from 1.
@@ -301,7 +301,7 @@
     const auto kind = *rc::gen::element(work_class::lookup, work_class::reading);
     const auto work = static_cast<double>(*rc::gen::inRange(1, static_cast<int>(largest_work)));
     const auto priority = static_cast<std::uint32_t>(*rc::gen::inRange(0, 10));
-    return {ticket, team, weight, kind, priority, work, far_off};
+    return {ticket, team, weight, kind, priority, work, distant_deadline};
 }
 
 void two_backlogged_teams_stay_within_the_bound()
@@ -327,9 +327,9 @@
 }
 
 // Plays random calls on a queue beside the entries that must be in it, with their teams.
-class played_queue {
+class simulated_queue {
 public:
-    void play_one_call()
+    void simulate_one_call()
     {
         const auto call = *rc::gen::inRange(0, 6);
         if (call < 3) {
@@ -413,11 +413,11 @@
 TEST(fair_queue_test, no_entry_is_lost_handed_out_twice_or_held_back_while_it_can_start)
 {
     CHECK_TRUE(rc::check("each entry once", [] {
-        played_queue played;
+        simulated_queue simulated;
         const auto calls = *rc::gen::inRange(0, 200);
         for (int call = 0; call < calls; ++call) {
-            played.play_one_call();
+            simulated.simulate_one_call();
         }
-        played.drain_the_rest();
+        simulated.drain_the_rest();
     }));
 }
--- a/decision/test/response_times_test.cpp
+++ b/decision/test/response_times_test.cpp
@@ -6,55 +6,55 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_GROUP(answer_lengths)
+TEST_GROUP(response_times)
 {
-    pearhaven::decision::answer_lengths known;
+    pearhaven::decision::response_times times;
 
     void teardown() override
     {
-        this->known = {};
+        this->times = {};
     }
 };
 
-TEST(answer_lengths, nothing_is_said_before_eight_answers)
+TEST(response_times, nothing_is_said_before_eight_answers)
 {
     for (int i = 0; i < 7; ++i) {
-        this->known.learn("reading", seconds(4));
+        this->times.record("reading", seconds(4));
     }
-    CHECK_FALSE(this->known.usual("reading").has_value());
-    this->known.learn("reading", seconds(4));
-    CHECK_TRUE(this->known.usual("reading") == seconds(4));
-    CHECK_FALSE(this->known.usual("lookup").has_value());
+    CHECK_FALSE(this->times.ninetieth_percentile("reading").has_value());
+    this->times.record("reading", seconds(4));
+    CHECK_TRUE(this->times.ninetieth_percentile("reading") == seconds(4));
+    CHECK_FALSE(this->times.ninetieth_percentile("lookup").has_value());
 }
 
-TEST(answer_lengths, nine_of_ten_keep_to_what_is_said)
+TEST(response_times, nine_of_ten_keep_to_what_is_said)
 {
     for (int i = 1; i <= 20; ++i) {
-        this->known.learn("reading", seconds(i));
+        this->times.record("reading", seconds(i));
     }
-    CHECK_TRUE(this->known.usual("reading") == seconds(19));
+    CHECK_TRUE(this->times.ninetieth_percentile("reading") == seconds(19));
 }
 
 // One answer took far longer than the others, for its caller read it slowly. It must not keep a
 // stopping router from taking the others' like.
-TEST(answer_lengths, an_odd_answer_is_forgotten)
+TEST(response_times, an_odd_answer_is_forgotten)
 {
     for (int i = 0; i < 4; ++i) {
-        this->known.learn("reading", seconds(60));
+        this->times.record("reading", seconds(60));
     }
     for (int i = 0; i < 32; ++i) {
-        this->known.learn("reading", milliseconds(300));
+        this->times.record("reading", milliseconds(300));
     }
-    CHECK_TRUE(this->known.usual("reading") == milliseconds(300));
+    CHECK_TRUE(this->times.ninetieth_percentile("reading") == milliseconds(300));
 }
 
-TEST(answer_lengths, kinds_that_come_and_go_do_not_fill_the_memory)
+TEST(response_times, kinds_that_come_and_go_do_not_fill_the_memory)
 {
     for (int i = 0; i < 5000; ++i) {
-        this->known.learn("route " + std::to_string(i), seconds(1));
+        this->times.record("route " + std::to_string(i), seconds(1));
     }
     for (int i = 0; i < 8; ++i) {
-        this->known.learn("reading", seconds(4));
+        this->times.record("reading", seconds(4));
     }
-    CHECK_TRUE(this->known.usual("reading") == seconds(4));
+    CHECK_TRUE(this->times.ninetieth_percentile("reading") == seconds(4));
 }
--- a/decision/test/retry_budget_test.cpp
+++ b/decision/test/retry_budget_test.cpp
@@ -16,8 +16,8 @@
 constexpr instant start{std::chrono::seconds(100)};
 
 // Of the platform: 0.9 of an allowance of 660, and 0.85 of a share of 0.9.
-constexpr double fleets_burst = 594.0;
-constexpr double routers_burst = 66.0;
+constexpr double fleet_burst = 594.0;
+constexpr double max_router_burst = 66.0;
 constexpr double share_of_arrivals = 0.765;
 
 // The budgets of all routers for one target.
@@ -25,7 +25,7 @@
 {
     std::vector<retry_budget> budgets;
     for (std::size_t rank = 0; rank < size; ++rank) {
-        budgets.emplace_back(0.0, router_share_of_burst(fleets_burst, routers_burst, rank, size));
+        budgets.emplace_back(0.0, router_share_of_burst(fleet_burst, max_router_burst, rank, size));
     }
     return budgets;
 }
@@ -47,11 +47,12 @@
 
 // The most retries, in any window of time, beyond what arrivals paid for. Those of the last moments
 // before the window pay as well.
-double most_beyond_share(const std::vector<fleet_count>& history)
+double max_beyond_share(const std::vector<fleet_count>& history)
 {
     double most = 0.0;
     for (auto first = history.begin(); first != history.end(); ++first) {
-        const double paid_before = arrivals_before(history, first->at - retry_budget::paid_time);
+        const double paid_before =
+            arrivals_before(history, first->at - retry_budget::earned_lifetime);
         const double retries_before = first == history.begin() ? 0.0 : std::prev(first)->retries;
         for (auto last = first; last != history.end(); ++last) {
             const double paid = share_of_arrivals * (last->arrivals - paid_before);
@@ -98,15 +99,15 @@
     for (std::size_t size = 1; size <= 2000; ++size) {
         double sum = 0.0;
         for (std::size_t rank = 0; rank < size; ++rank) {
-            const double part = router_share_of_burst(fleets_burst, routers_burst, rank, size);
+            const double part = router_share_of_burst(fleet_burst, max_router_burst, rank, size);
             CHECK_TRUE(part == 0.0 || part >= 1.0); // with less no retry could ever be made
             sum += part;
         }
-        CHECK_TRUE(sum <= fleets_burst + 1e-6);
-        const double size_alone = routers_burst * static_cast<double>(size);
-        CHECK_TRUE(sum >= std::min(fleets_burst, size_alone) - 1e-6);
+        CHECK_TRUE(sum <= fleet_burst + 1e-6);
+        const double size_alone = max_router_burst * static_cast<double>(size);
+        CHECK_TRUE(sum >= std::min(fleet_burst, size_alone) - 1e-6);
     }
-    DOUBLES_EQUAL(0.0, router_share_of_burst(0.9, routers_burst, 0, 5), 0.0);
+    DOUBLES_EQUAL(0.0, router_share_of_burst(0.9, max_router_burst, 0, 5), 0.0);
 }
 
 // Requests come and are lost at routers, a few of which get most; now and then every router gets
@@ -146,7 +147,7 @@
             }
             history.push_back(count);
         }
-        RC_ASSERT(most_beyond_share(history) <= fleets_burst + 1e-6);
+        RC_ASSERT(max_beyond_share(history) <= fleet_burst + 1e-6);
     });
     CHECK_TRUE(holds);
 }
@@ -169,16 +170,16 @@
 {
     retry_budget budget(0.0, 0.0);
     budget.earn(5.0, start);
-    CHECK_FALSE(budget.can_spend(start + retry_budget::paid_time));
-    CHECK_FALSE(budget.try_spend(start + retry_budget::paid_time));
+    CHECK_FALSE(budget.can_spend(start + retry_budget::earned_lifetime));
+    CHECK_FALSE(budget.try_spend(start + retry_budget::earned_lifetime));
 }
 
 TEST(retry_budget_test, a_retry_made_in_any_case_is_taken_off_what_was_paid_last)
 {
     retry_budget budget(0.0, 0.0);
     budget.earn(1.0, start);
-    budget.owe(start);
-    budget.owe(start);
+    budget.debit(start);
+    budget.debit(start);
     budget.earn(1.0, start + milliseconds(500));
     CHECK_FALSE(budget.try_spend(start + milliseconds(500)));
     budget.earn(1.0, start + milliseconds(500));
--- a/decision/test/suspects_test.cpp
+++ b/decision/test/suspects_test.cpp
@@ -35,19 +35,19 @@
     // suspect, and no third endpoint is lost.
     suspect_table table;
     CHECK_TRUE(table.on_crash({1, 2}, now).empty());
-    CHECK_TRUE(suspect_status::suspect == table.look(1, now));
+    CHECK_TRUE(suspect_status::suspect == table.status_of(1, now));
     table.on_finished(2, now);
     CHECK_TRUE(std::vector<std::uint64_t>{1} == table.on_crash({1, 3}, now));
-    CHECK_TRUE(suspect_status::quarantined == table.look(1, now));
-    CHECK_TRUE(suspect_status::clear == table.look(2, now));
-    CHECK_TRUE(suspect_status::suspect == table.look(3, now));
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now));
+    CHECK_TRUE(suspect_status::clear == table.status_of(2, now));
+    CHECK_TRUE(suspect_status::suspect == table.status_of(3, now));
 }
 
 TEST(suspects_test, one_crash_under_a_request_sent_twice_is_one_strike)
 {
     suspect_table table;
     table.on_crash({1, 1}, now);
-    CHECK_TRUE(suspect_status::suspect == table.look(1, now));
+    CHECK_TRUE(suspect_status::suspect == table.status_of(1, now));
 }
 
 TEST(suspects_test, of_two_suspects_on_a_crashed_endpoint_none_is_quarantined)
@@ -64,26 +64,26 @@
 {
     suspect_table table({10, std::chrono::minutes(1), std::chrono::minutes(5)});
     table.on_crash({1}, now);
-    CHECK_TRUE(suspect_status::clear == table.look(1, now + std::chrono::minutes(1)));
-    table.learn(1, suspect_status::quarantined, now);
-    CHECK_TRUE(suspect_status::quarantined == table.look(1, now + std::chrono::minutes(4)));
-    table.learn(2, suspect_status::suspect, now + std::chrono::minutes(6));
+    CHECK_TRUE(suspect_status::clear == table.status_of(1, now + std::chrono::minutes(1)));
+    table.apply_peer_status(1, suspect_status::quarantined, now);
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now + std::chrono::minutes(4)));
+    table.apply_peer_status(2, suspect_status::suspect, now + std::chrono::minutes(6));
     CHECK_EQUAL(1U, table.size());
 }
 
 TEST(suspects_test, of_too_many_entries_suspicions_go_before_quarantines)
 {
     suspect_table table({2, std::chrono::minutes(10), std::chrono::hours(1)});
-    table.learn(1, suspect_status::quarantined, now);
+    table.apply_peer_status(1, suspect_status::quarantined, now);
     table.on_crash({2, 3}, now);
     CHECK_EQUAL(2U, table.size());
-    CHECK_TRUE(suspect_status::quarantined == table.look(1, now));
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now));
 }
 
 TEST(suspects_test, news_tells_what_was_found_here_once)
 {
     suspect_table table;
-    table.learn(9, suspect_status::suspect, now);
+    table.apply_peer_status(9, suspect_status::suspect, now);
     table.on_crash({1, 9}, now);
     table.on_finished(1, now);
     const std::vector<std::pair<std::uint64_t, suspect_status>> expected = {
@@ -95,20 +95,20 @@
 TEST(suspects_test, late_news_lifts_no_quarantine)
 {
     suspect_table table;
-    table.learn(1, suspect_status::quarantined, now);
-    table.learn(1, suspect_status::suspect, now);
-    table.learn(1, suspect_status::clear, now);
+    table.apply_peer_status(1, suspect_status::quarantined, now);
+    table.apply_peer_status(1, suspect_status::suspect, now);
+    table.apply_peer_status(1, suspect_status::clear, now);
     table.on_finished(1, now);
-    CHECK_TRUE(suspect_status::quarantined == table.look(1, now));
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now));
 }
 
 namespace {
 
 // Endpoints on which requests run. The guilty one crashes its endpoint sooner or later; suspects
 // are kept apart, as the table asks; callers send everything again.
-class played_fleet {
+class simulated_fleet {
 public:
-    void play_one_event()
+    void simulate_one_event()
     {
         const auto request = *rc::gen::inRange<std::uint64_t>(guilty, guilty + 12);
         const auto endpoint = *rc::gen::inRange(0, 4);
@@ -119,7 +119,7 @@
         }
         RC_ASSERT(this->crashes <= 2);
         for (std::uint64_t innocent = guilty + 1; innocent < guilty + 12; ++innocent) {
-            RC_ASSERT(this->table.look(innocent, now) != suspect_status::quarantined);
+            RC_ASSERT(this->table.status_of(innocent, now) != suspect_status::quarantined);
         }
     }
 
@@ -139,7 +139,7 @@
 private:
     [[nodiscard]] bool is_suspect(std::uint64_t request) const
     {
-        return this->table.look(request, now) == suspect_status::suspect;
+        return this->table.status_of(request, now) == suspect_status::suspect;
     }
 
     // One copy of a request at a time: a router gives a resend the state of the first.
@@ -152,7 +152,7 @@
         auto& here = this->running[endpoint];
         const bool shares = std::any_of(here.begin(), here.end(),
                                         [this](auto other) { return this->is_suspect(other); });
-        const bool quarantined = this->table.look(request, now) == suspect_status::quarantined;
+        const bool quarantined = this->table.status_of(request, now) == suspect_status::quarantined;
         if (!runs && !quarantined && !(this->is_suspect(request) && shares)) {
             here.push_back(request);
         }
@@ -182,9 +182,9 @@
 TEST(suspects_test, two_crashes_at_most_and_no_innocent_in_quarantine_whatever_the_schedule)
 {
     CHECK_TRUE(rc::check("crashes", [] {
-        played_fleet fleet;
+        simulated_fleet fleet;
         for (int event = 0; event < 150; ++event) {
-            fleet.play_one_event();
+            fleet.simulate_one_event();
         }
         fleet.end_all();
         RC_ASSERT(fleet.crashes <= 2);
--- a/decision/test/work_test.cpp
+++ b/decision/test/work_test.cpp
@@ -15,9 +15,9 @@
 
 TEST(work_test, a_stated_class_is_believed_but_its_work_is_counted)
 {
-    const auto stated = estimate_work(400'000, 2000, work_class::lookup);
-    CHECK_TRUE(work_class::lookup == stated.kind);
-    DOUBLES_EQUAL(12'000.0, stated.tokens, 1e-9);
+    const auto declared = estimate_work(400'000, 2000, work_class::lookup);
+    CHECK_TRUE(work_class::lookup == declared.kind);
+    DOUBLES_EQUAL(12'000.0, declared.tokens, 1e-9);
 }
 
 TEST(work_test, an_answer_without_a_bound_is_expected_to_be_usual_for_its_class)
