--- a/decision/include/pearhaven/decision/configuration.hpp
+++ b/decision/include/pearhaven/decision/configuration.hpp
@@ -47,8 +47,9 @@
 struct team {
     std::string name;
     labels tags;
-    std::vector<std::string>
-        key_sha256;      // lower-case hexadecimal digests of the accepted bearer keys
+
+    // Lower-case hexadecimal digests of the accepted bearer keys.
+    std::vector<std::string> key_sha256;
     double weight = 1.0; // share under contention, relative to the other teams
     selector versions = selector::nothing();
     std::uint32_t max_in_flight = 256; // concurrent requests of the team that one router admits
@@ -109,8 +110,9 @@
     selector versions = selector::nothing();
     std::uint32_t slots_per_host = 16; // max concurrent requests per endpoint
     double long_share = 0.5; // max share of an endpoint's slots that long requests may hold
-    bool checks_fencing =
-        true; // whether the endpoints refuse orders with an outdated fencing number
+
+    // Whether the endpoints refuse orders with an outdated fencing number.
+    bool checks_fencing = true;
 
     friend bool operator==(const pool&, const pool&) = default;
 };
@@ -122,8 +124,9 @@
     selector hosts = selector::nothing();
     selector teams; // teams that may call it; all by default
     bool idempotent = false;
-    std::vector<std::string>
-        idempotent_methods; // methods that may be repeated even if `idempotent` is false
+
+    // Methods that may be repeated even if `idempotent` is false.
+    std::vector<std::string> idempotent_methods;
 
     friend bool operator==(const service&, const service&) = default;
 };
@@ -140,8 +143,9 @@
     std::string name;
     std::string from;
     std::string to;
-    std::vector<std::uint32_t>
-        step_callers; // callers granted at each step; all traffic moves after the last one
+
+    // Callers granted at each step; all traffic moves after the last one.
+    std::vector<std::uint32_t> step_callers;
     std::uint32_t step_seconds = 60; // min time on each step
     double max_error_rate = 0.05;    // guard: error rate that counts as bad
     double base_error_rate = 0.01;   // guard: error rate of a good version
@@ -150,8 +154,9 @@
     std::uint32_t step = 0;    // past the last step, each further one grants the last number again
     std::uint64_t run = 0;     // identifies this attempt and its evidence; 0 until it begins
     std::uint32_t routers = 0; // fleet size among which the step's grant is divided
-    std::uint32_t session_ppm =
-        0; // parts per million of sessions without tokens that move before the full move
+
+    // Parts per million of sessions without tokens that move before the full move.
+    std::uint32_t session_ppm = 0;
     bool fills_endpoint = false;        // requests that fill an endpoint move, all to the same one
     std::uint32_t fill_ppm = 1'000'000; // parts per million of those requests that move
 
--- a/decision/include/pearhaven/decision/dispatcher.hpp
+++ b/decision/include/pearhaven/decision/dispatcher.hpp
@@ -84,18 +84,21 @@
     bool idempotent = true;
     bool streamed = false; // the answer is delivered in pieces as they arrive
     std::optional<session> bound;
-    std::uint64_t session_key =
-        0; // identifies the session of a caller without a token; 0 if there is none
+
+    // Identifies the session of a caller without a token; 0 if there is none.
+    std::uint64_t session_key = 0;
     work_estimate work{};
     std::uint32_t priority = 5;
     instant deadline;
     std::uint64_t prefix_hash = 0;
-    std::vector<prompt_part>
-        parts; // cost added to `work` where they are not cached; independent of the model
+
+    // Cost added to `work` where they are not cached; independent of the model.
+    std::vector<prompt_part> parts;
     std::uint64_t fingerprint = 0;
     continuation on_loss = continuation::same_run;
-    std::uint32_t max_attempts =
-        0;                    // max endpoints that may run it; 0 to use the dispatcher's settings
+
+    // Max endpoints that may run it; 0 to use the dispatcher's settings.
+    std::uint32_t max_attempts = 0;
     std::uint32_t sizes = 0;  // number of model sizes that may answer; 0 or 1 for no choice
     bool long_prompt = false; // prefill takes an engine longer than generating the answer
     duration objective{}; // target time from arrival to the first piece of the answer; zero if none
@@ -109,11 +112,13 @@
     attempt_result result = attempt_result::failed;
     bool endpoint_leaving = false; // the refusal reported that the endpoint is leaving
     bool run_lost = false; // the endpoint no longer knows the run, for example after a restart
-    bool answer_began =
-        false; // on this connection: the endpoint is alive, even if it is silent now
+
+    // On this connection: the endpoint is alive, even if it is silent now.
+    bool answer_began = false;
     bool answered_error = false; // the run ended with an error reported by the endpoint
-    bool answer_reports_failure =
-        false;                // finished, but with an answer that reports a failure of the endpoint
+
+    // Finished, but with an answer that reports a failure of the endpoint.
+    bool answer_reports_failure = false;
     std::uint64_t tokens = 0; // tokens of this run received so far
     duration first_token{};   // zero if none was received
     double actual_work = 0.0; // zero if unknown
@@ -189,14 +194,17 @@
     double retry_burst = 20.0;           // retries allowed beyond those shares, per router
     double fleet_retry_burst = 0.0;      // for all routers together; zero for no limit
     size_choice_settings sizes;
-    double small_model_work_factor =
-        0.1;                         // relative to the largest model's work for the same request
+
+    // Relative to the largest model's work for the same request.
+    double small_model_work_factor = 0.1;
     std::uint32_t max_refusals = 16; // refusals of one request by endpoints, before it ran
     std::uint32_t max_resumes = 3;   // new connections for one run
-    std::uint32_t max_losses =
-        2; // lost runs of one request; limits how many endpoints it can crash
-    double first_response_timeout_factor =
-        2.0; // multiple of the time in which answers of the kind usually begin
+
+    // Lost runs of one request; limits how many endpoints it can crash.
+    std::uint32_t max_losses = 2;
+
+    // Multiple of the time in which answers of the kind usually begin.
+    double first_response_timeout_factor = 2.0;
     std::uint64_t seed = 1;
 };
 
@@ -279,7 +287,7 @@
     // of the objective, but at least a multiple of the 90th percentile for requests of this kind.
     // Zero for a request without an objective.
     [[nodiscard]] duration first_response_timeout(const arrival& request,
-                                                  double part_of_objective) const;
+                                                  double objective_share) const;
 
     // Whether the request would get another attempt if the current one were given up now. If not,
     // waiting for the current one is all that is left; that is also so once the operator has
@@ -331,8 +339,9 @@
         std::uint64_t incarnation = 0; // of the endpoint at `address`
         std::string version;
         std::vector<avoided_endpoint> avoid; // endpoints that refused or lost it
-        instant
-            avoid_until; // after that they may be tried again, as they may be the only ones left
+
+        // After that they may be tried again, as they may be the only ones left.
+        instant avoid_until;
         std::uint32_t resumes = 0;
         std::uint32_t refusals = 0;
         std::uint32_t losses = 0;                 // runs that were lost
@@ -346,13 +355,15 @@
         instant sent_at;            // start of the current attempt
         bool concentrated = false;  // the current attempt goes to the endpoint that is being filled
         bool was_displaced = false; // the endpoint that is being filled refused it
-        std::uint32_t size_before_concentration =
-            0;                      // `size` before the filled endpoint made it the largest
+
+        // `size` before the filled endpoint made it the largest.
+        std::uint32_t size_before_concentration = 0;
         std::size_t load_level = 0; // with `concentrated`: load level of the endpoint at the start
         bool answer_begun = false;  // the current attempt's answer has begun
-        double outstanding_work =
-            0.0;                   // work that the endpoint still has to do for the current attempt
-        double prefill_work = 0.0; // the part of it that is done once the answer begins
+
+        // Work that the endpoint still has to do for the current attempt.
+        double outstanding_work = 0.0;
+        double prefill_work = 0.0;      // the part of it that is done once the answer begins
         std::vector<prompt_part> parts; // of the current attempt, specific to the model
         rollout_note rollouts;
     };
@@ -364,7 +375,7 @@
 
     struct target_arrivals {
         arrival_counter all;
-        arrival_counter endpoint_filling; // see `rollout_note::fills_endpoint`
+        arrival_counter endpoint_filling; // see `rollout_context::fills_endpoint`
     };
 
     struct start_choice {
--- a/decision/include/pearhaven/decision/fair_queue.hpp
+++ b/decision/include/pearhaven/decision/fair_queue.hpp
@@ -33,8 +33,9 @@
 struct fair_queue_settings {
     std::size_t max_entries = 4096;
     std::size_t max_entries_per_team = 1024;
-    double lookup_share =
-        0.5; // part of a team's share that its lookups may take ahead of its readings
+
+    // Part of a team's share that its lookups may take ahead of its readings.
+    double lookup_share = 0.5;
     std::size_t scan_depth = 4;    // entries per team and class offered to `can_start` in one pop
     double max_credit = 100'000.0; // work per weight that a team may catch up after it was blocked
 };
--- a/decision/src/dispatcher_admission.cpp
+++ b/decision/src/dispatcher_admission.cpp
@@ -78,8 +78,8 @@
     if (request.on_loss == continuation::another_run) {
         return std::nullopt;
     }
-    const auto length = this->completion_times.ninetieth_percentile(kind_of(request));
-    if (length && std::min(now + *length, request.deadline) > this->stop->end) {
+    const auto usual_time = this->completion_times.ninetieth_percentile(kind_of(request));
+    if (usual_time && std::min(now + *usual_time, request.deadline) > this->stop->end) {
         return retryable_failure(
             failure_code::stopping, short_retry_delay,
             "this router stops before an answer of the usual length would end");
@@ -124,16 +124,16 @@
     for (const auto& version : this->exposure.tripped()) {
         question.excluded.push_back(version);
     }
-    auto note = state.rollouts;
-    auto chosen = this->exposure.choose(question, note);
+    auto context = state.rollouts;
+    auto chosen = this->exposure.choose(question, context);
     // A new version that no endpoint serves yet must not cost its first callers their answers. If
     // there is no other version, it is chosen again and its callers are refused.
     while (this->exposure.watches(chosen.answer.version) &&
            !this->exposure.is_whole(chosen.answer.version) &&
-           !contains(note.lost_on, chosen.answer.version) &&
+           !contains(context.lost_on, chosen.answer.version) &&
            !this->table.serves(this->place(state, chosen.answer.version, now), now)) {
-        note.lost_on.push_back(chosen.answer.version);
-        chosen = this->exposure.choose(question, note);
+        context.lost_on.push_back(chosen.answer.version);
+        chosen = this->exposure.choose(question, context);
     }
     return chosen;
 }
--- a/decision/src/dispatcher_attempts.cpp
+++ b/decision/src/dispatcher_attempts.cpp
@@ -266,17 +266,17 @@
 // With long prompts or busy endpoints, the objective alone is too short a timeout: runs that were
 // about to answer would be given up, restarted at the next endpoint and given up there again. The
 // usual time for the kind of request is therefore a lower bound.
-duration dispatcher::first_response_timeout(const arrival& request, double part_of_objective) const
+duration dispatcher::first_response_timeout(const arrival& request, double objective_share) const
 {
     if (request.objective <= duration::zero()) {
         return duration::zero();
     }
     const auto usual = this->first_response_times.ninetieth_percentile(kind_of(request))
                            .value_or(duration::zero());
-    const auto stated = request.objective * part_of_objective;
+    const auto configured = request.objective * objective_share;
     return std::chrono::duration_cast<duration>(
         std::max<std::chrono::duration<double, duration::period>>(
-            stated, usual * this->settings.first_response_timeout_factor));
+            configured, usual * this->settings.first_response_timeout_factor));
 }
 
 // Near the end of a stop, giving up a silent run makes things worse for its caller: the new run
@@ -286,9 +286,9 @@
     if (!this->stop) {
         return true;
     }
-    const auto length =
+    const auto usual_time =
         this->completion_times.ninetieth_percentile(kind_of(request)).value_or(duration::zero());
-    return now + std::max(length, min_run_time) <= this->stop->end;
+    return now + std::max(usual_time, min_run_time) <= this->stop->end;
 }
 
 bool dispatcher::can_retry(ticket_number ticket, instant now) const
@@ -329,8 +329,8 @@
 
 bool dispatcher::has_runs_left(const request_state& state) const
 {
-    const auto stated = state.request.max_attempts;
-    return stated == 0 ? state.losses < this->settings.max_losses : state.runs < stated;
+    const auto max_attempts = state.request.max_attempts;
+    return max_attempts == 0 ? state.losses < this->settings.max_losses : state.runs < max_attempts;
 }
 
 bool dispatcher::accepts_answer(ticket_number ticket, attempt_number attempt, double confidence,
@@ -353,10 +353,11 @@
     question.waited = now - state.arrived;
     question.objective = request.objective;
     const auto next = next_size(question, this->settings.sizes);
-    const bool drops = next != state.size && !state.delivered &&
-                       state.runs + 1 < std::max(request.max_attempts, 1U) &&
-                       !this->target_failure(state, now) && this->budget_of(request).try_spend(now);
-    if (!drops) {
+    const bool drops_answer = next != state.size && !state.delivered &&
+                              state.runs + 1 < std::max(request.max_attempts, 1U) &&
+                              !this->target_failure(state, now) &&
+                              this->budget_of(request).try_spend(now);
+    if (!drops_answer) {
         this->record_answer_begin(state);
         return true;
     }
--- a/decision/src/label_index.hpp
+++ b/decision/src/label_index.hpp
@@ -35,8 +35,8 @@
     [[nodiscard]] name_set candidates(const labels& tags) const;
 
 private:
-    std::map<std::string, std::map<std::string, name_set>>
-        by_label; // keyed by label and value of the first requirement
+    // Keyed by label and value of the first requirement.
+    std::map<std::string, std::map<std::string, name_set>> by_label;
     name_set without_requirement;
 };
 
--- a/decision/src/response_times.cpp
+++ b/decision/src/response_times.cpp
@@ -32,10 +32,10 @@
     }
     auto samples = times->second.samples;
     const auto count = std::min(times->second.recorded, max_samples);
-    const auto place = count * 9 / 10;
+    const auto rank = count * 9 / 10;
     const auto end = samples.begin() + static_cast<std::ptrdiff_t>(count);
-    std::nth_element(samples.begin(), samples.begin() + static_cast<std::ptrdiff_t>(place), end);
-    return samples[place];
+    std::nth_element(samples.begin(), samples.begin() + static_cast<std::ptrdiff_t>(rank), end);
+    return samples[rank];
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/suspects.cpp
+++ b/decision/src/suspects.cpp
@@ -43,8 +43,9 @@
     void record_change(std::uint64_t fingerprint, suspect_status status);
 
     suspect_settings settings;
-    std::unordered_map<std::uint64_t, std::pair<suspect_status, instant>>
-        records; // status and expiry
+
+    // Status and expiry.
+    std::unordered_map<std::uint64_t, std::pair<suspect_status, instant>> records;
     std::set<std::pair<instant, std::uint64_t>> by_expiry;
     std::vector<std::pair<std::uint64_t, suspect_status>> changes;
 };
@@ -106,14 +107,14 @@
     // A request may run twice on one endpoint; that counts as one crash.
     const std::set<std::uint64_t> crashed_requests(in_flight.begin(), in_flight.end());
     std::vector<std::uint64_t> suspects;
-    for (const std::uint64_t name : crashed_requests) {
-        const suspect_status before = this->status_of(name, now);
+    for (const std::uint64_t request : crashed_requests) {
+        const suspect_status before = this->status_of(request, now);
         if (before == suspect_status::suspect) {
-            suspects.push_back(name);
+            suspects.push_back(request);
         }
         if (before == suspect_status::clear) {
-            this->inner->set_status(name, suspect_status::suspect, now);
-            this->inner->record_change(name, suspect_status::suspect);
+            this->inner->set_status(request, suspect_status::suspect, now);
+            this->inner->record_change(request, suspect_status::suspect);
         }
     }
     // Several suspects on one endpoint, for example because another router's update arrived too
--- a/decision/test/changed_dispatch_test.cpp
+++ b/decision/test/changed_dispatch_test.cpp
@@ -374,8 +374,8 @@
 }
 
 // Random schedules of requests that arrive, end in all ways and wait, while the operator removes
-// and restores their targets. Each request gets exactly one answer or failure, and none that was
-// sent is reported as not run unless the endpoint refused it.
+// and restores their targets. Each request gets exactly one answer or failure, and none that may
+// have run is reported as not run.
 TEST(changed_dispatch, every_request_gets_one_final_answer_under_random_configuration_changes)
 {
     const bool holds = rc::check("one answer", [this] {
--- a/decision/test/dispatcher_test.cpp
+++ b/decision/test/dispatcher_test.cpp
@@ -494,8 +494,8 @@
 }
 
 // One request crashes every endpoint that runs it, and its caller keeps resending it. It may crash
-// one endpoint while unknown and one while suspect; after that it is refused whichever endpoint is
-// free. The other requests of the first batch are retried apart from the other suspects and
+// one endpoint while unknown and one while suspect; after that it is refused wherever it comes
+// from. The other requests of the first batch are retried apart from the other suspects and
 // complete.
 TEST(dispatcher_test, a_crashing_request_crashes_two_endpoints_and_innocent_requests_complete)
 {
--- a/decision/test/retry_budget_test.cpp
+++ b/decision/test/retry_budget_test.cpp
@@ -49,17 +49,17 @@
 // `earned_lifetime` before the window count as well.
 double max_beyond_share(const std::vector<fleet_count>& history)
 {
-    double most = 0.0;
+    double max_excess = 0.0;
     for (auto first = history.begin(); first != history.end(); ++first) {
         const double paid_before =
             arrivals_before(history, first->at - retry_budget::earned_lifetime);
         const double retries_before = first == history.begin() ? 0.0 : std::prev(first)->retries;
         for (auto last = first; last != history.end(); ++last) {
             const double paid = share_of_arrivals * (last->arrivals - paid_before);
-            most = std::max(most, last->retries - retries_before - paid);
+            max_excess = std::max(max_excess, last->retries - retries_before - paid);
         }
     }
-    return most;
+    return max_excess;
 }
 
 } // namespace
--- a/decision/test/suspects_test.cpp
+++ b/decision/test/suspects_test.cpp
@@ -21,11 +21,11 @@
 
 TEST(suspects_test, a_fingerprint_depends_on_each_part_and_on_its_length)
 {
-    const auto usual = fingerprint("deposits", "reader", "body");
-    CHECK_TRUE(usual == fingerprint("deposits", "reader", "body"));
-    CHECK_TRUE(usual != fingerprint("bookings", "reader", "body"));
-    CHECK_TRUE(usual != fingerprint("depositsr", "eader", "body"));
-    CHECK_TRUE(usual != fingerprint("deposits", "reader", "body "));
+    const auto base = fingerprint("deposits", "reader", "body");
+    CHECK_TRUE(base == fingerprint("deposits", "reader", "body"));
+    CHECK_TRUE(base != fingerprint("bookings", "reader", "body"));
+    CHECK_TRUE(base != fingerprint("depositsr", "eader", "body"));
+    CHECK_TRUE(base != fingerprint("deposits", "reader", "body "));
 }
 
 TEST(suspects_test, the_second_crash_of_a_suspect_quarantines_it_alone)
