--- a/decision/include/pearhaven/decision/dispatcher.hpp
+++ b/decision/include/pearhaven/decision/dispatcher.hpp
@@ -394,8 +394,8 @@
                                                         instant now) const;
     [[nodiscard]] std::optional<start_choice> find_start(const request_state& state, instant now);
     [[nodiscard]] rollout_choice choose_version(const request_state& state, instant now) const;
-    [[nodiscard]] placement place(const request_state& state, const std::string& target,
-                                  instant now) const;
+    [[nodiscard]] placement placement_for(const request_state& state, const std::string& target,
+                                          instant now) const;
     [[nodiscard]] bool is_config_valid(instant now) const { return now < this->config_valid_until; }
     [[nodiscard]] bool is_config_grace_over(instant now) const;
     [[nodiscard]] bool is_suspect(const request_state& state, instant now) const;
--- a/decision/src/dispatcher.cpp
+++ b/decision/src/dispatcher.cpp
@@ -159,8 +159,8 @@
            suspect_table::suspect_status::suspect;
 }
 
-placement dispatcher::place(const request_state& state, const std::string& target,
-                            instant now) const
+placement dispatcher::placement_for(const request_state& state, const std::string& target,
+                                    instant now) const
 {
     placement wanted;
     wanted.version_or_service = target;
@@ -227,10 +227,10 @@
 // If an endpoint crashes with two suspects on it, the cause cannot be attributed, and quarantining
 // both would hit the innocent one. On separate endpoints, a second crash identifies exactly one.
 //
-// Suspects of two routers do not know of each other, so each router tries its own on a separate set
-// of endpoints: those whose index in the sorted list is the router's rank modulo the number of
-// routers. With fewer endpoints than routers, those without endpoints hold their suspects back for
-// a while, until gossip has spread which request is the cause.
+// A router may not have received another router's suspects yet, so each router tries its own on a
+// separate set of endpoints: those whose index in the sorted list is the router's rank modulo the
+// number of routers. With fewer endpoints than routers, those without endpoints hold their suspects
+// back for a while, until gossip has spread which request is the cause.
 void dispatcher::isolate_suspect(const request_state& state, placement& wanted, instant now) const
 {
     for (const auto& [ticket, other] : this->requests) {
@@ -260,7 +260,7 @@
         target = std::move(chosen.answer.version);
         exposed_by = std::move(chosen.exposed_by);
     }
-    auto wanted = this->place(state, target, now);
+    auto wanted = this->placement_for(state, target, now);
     wanted.packed = wanted.packed && this->table.has_packed_room(wanted, this->fleet_size, now);
     auto address = this->table.choose(wanted, now, this->next_random());
     if (!address) {
--- a/decision/src/dispatcher_admission.cpp
+++ b/decision/src/dispatcher_admission.cpp
@@ -131,7 +131,7 @@
     while (this->exposure.watches(chosen.answer.version) &&
            !this->exposure.is_whole(chosen.answer.version) &&
            !contains(context.lost_on, chosen.answer.version) &&
-           !this->table.serves(this->place(state, chosen.answer.version, now), now)) {
+           !this->table.serves(this->placement_for(state, chosen.answer.version, now), now)) {
         context.lost_on.push_back(chosen.answer.version);
         chosen = this->exposure.choose(question, context);
     }
@@ -186,7 +186,7 @@
         }
         target = answer.version;
     }
-    if (!this->table.serves(this->place(state, target, now), now)) {
+    if (!this->table.serves(this->placement_for(state, target, now), now)) {
         return retryable_failure(failure_code::no_endpoint, long_retry_delay,
                                  "no endpoint serves " + target);
     }
--- a/decision/src/dispatcher_attempts.cpp
+++ b/decision/src/dispatcher_attempts.cpp
@@ -168,11 +168,12 @@
 // because of three of them. The table no longer counts the request's own work here.
 bool dispatcher::is_blocked_by_others(const request_state& state, instant now) const
 {
-    constexpr double microseconds_of_work = 1000.0; // the table counts work in milliseconds here
-    const double others = this->table.work_at(state.address, this->fleet_size);
+    // The table counts work in milliseconds here.
+    constexpr double microseconds_per_work_unit = 1000.0;
+    const double other_work = this->table.work_at(state.address, this->fleet_size);
     const auto silence = static_cast<double>((now - state.sent_at).count());
-    return state.concentrated && others > 0.0 &&
-           others * microseconds_of_work >= silence * min_explained_silence;
+    return state.concentrated && other_work > 0.0 &&
+           other_work * microseconds_per_work_unit >= silence * min_explained_silence;
 }
 
 // A run lost by a new version counts against it, and the request is repeated on another version. An
@@ -190,8 +191,8 @@
     // If runs end with their connection, one crash of the endpoint ends many at once.
     const bool crashed = end.result == attempt_result::failed && !end.answered_error &&
                          state.request.on_loss != continuation::same_run;
-    const bool tells_nothing = end.result == attempt_result::unreachable || busy || crashed;
-    if (!tells_nothing) {
+    const bool inconclusive = end.result == attempt_result::unreachable || busy || crashed;
+    if (!inconclusive) {
         this->exposure.on_end(state.version, false);
         this->record_loaded_run(state, false);
     }
