--- a/decision/src/dispatcher.cpp
+++ b/decision/src/dispatcher.cpp
@@ -12,27 +12,26 @@
 
 namespace {
 
-// How long a suspect is kept for the endpoints of its own router.
-constexpr duration suspect_hold = std::chrono::seconds(3);
+// How long a router tries its suspects only on the endpoints assigned to its rank.
+constexpr duration suspect_isolation_period = std::chrono::seconds(3);
 
-// Period over which the rate of finished work is measured.
 constexpr duration rate_period = std::chrono::seconds(1);
 
-// Time between two looks for runs past their deadline.
-constexpr duration overdue_period = std::chrono::milliseconds(100);
+// Time between two checks for runs past their deadline.
+constexpr duration overdue_check_period = std::chrono::milliseconds(100);
 
-// Weight of the newest period in the smoothed rate.
+// Smoothing factor: weight of the newest period in the rate.
 constexpr double rate_gain = 0.3;
 
-// Share of a team that is no longer configured, relative to the other teams.
+// Weight of a team that is no longer configured, relative to the other teams.
 constexpr double removed_team_weight = 1.0;
 
-// Whether the request keeps a slot of its endpoint for long, and may be repeated elsewhere should
-// the endpoint not bear it.
+// Whether the request occupies a slot for long and can be continued elsewhere if its endpoint
+// becomes overloaded.
 bool fills_endpoint(const arrival& request)
 {
     return request.streamed && !request.is_service && !request.long_prompt &&
-           request.on_loss == continuation::at_other_run;
+           request.on_loss == continuation::another_run;
 }
 
 } // namespace
@@ -82,7 +81,7 @@
     return true;
 }
 
-void dispatcher::on_loads_told(const std::string& router, std::vector<endpoint_load> loads,
+void dispatcher::on_peer_loads(const std::string& router, std::vector<endpoint_load> loads,
                                instant now)
 {
     this->table.told(router, std::move(loads), now);
@@ -94,27 +93,27 @@
     this->table.mark_leaving(address, incarnation, now);
 }
 
-void dispatcher::on_standing_told(std::uint64_t fingerprint, suspect_table::standing standing,
-                                  instant now)
+void dispatcher::on_peer_suspect_status(std::uint64_t fingerprint,
+                                        suspect_table::suspect_status suspect_status, instant now)
 {
-    this->suspects.learn(fingerprint, standing, now);
+    this->suspects.apply_peer_status(fingerprint, suspect_status, now);
 }
 
-void dispatcher::on_trip_told(const std::string& version, std::uint64_t run, instant now)
+void dispatcher::on_peer_trip(const std::string& version, std::uint64_t run, instant now)
 {
-    this->exposure.on_trip_told(version, run);
+    this->exposure.on_peer_trip(version, run);
     this->dispatch(now);
 }
 
-void dispatcher::on_touch(instant until, instant now)
+void dispatcher::on_config_confirmed(instant until, instant now)
 {
-    this->in_touch_until = until;
+    this->config_valid_until = until;
     this->dispatch(now);
 }
 
-bool dispatcher::is_long_out_of_touch(instant now) const
+bool dispatcher::is_config_grace_over(instant now) const
 {
-    return now - this->in_touch_until > this->settings.out_of_touch_patience;
+    return now - this->config_valid_until > this->settings.config_expiry_grace;
 }
 
 void dispatcher::on_fleet(std::size_t rank, std::size_t size)
@@ -123,7 +122,7 @@
     this->fleet_rank = std::min(rank, this->fleet_size - 1);
     this->exposure.on_fleet(this->fleet_rank, this->fleet_size);
     for (auto& [asked, budget] : this->budgets) {
-        budget.set_burst(this->burst_of_router(asked));
+        budget.set_burst(this->router_burst(asked));
     }
 }
 
@@ -136,18 +135,19 @@
     ++this->team_in_flight[request.team];
     const auto ticket = request.ticket;
     request_state state;
-    state.what = std::move(request);
-    state.lost_at = now; // by another router, if it is a suspect already
+    state.request = std::move(request);
+    state.lost_at = now; // by another router, if it is already a suspect
     state.arrived = now;
-    state.size = first_size(state.what.sizes, this->settings.sizes);
-    state.rollouts.fills_endpoint = fills_endpoint(state.what);
-    auto& arrivals = this->arrivals_by_target[state.what.asked];
+    state.size = first_size(state.request.sizes, this->settings.sizes);
+    state.rollouts.fills_endpoint = fills_endpoint(state.request);
+    auto& arrivals = this->arrivals_by_target[state.request.asked];
     ++arrivals.all.in_period;
-    arrivals.that_fill.in_period += state.rollouts.fills_endpoint ? 1 : 0;
-    this->budget_of(state.what).earn(this->settings.retry_share_on_arrival, now);
+    arrivals.endpoint_filling.in_period += state.rollouts.fills_endpoint ? 1 : 0;
+    this->budget_of(state.request).earn(this->settings.retry_share_on_arrival, now);
     const auto& admitted = this->requests.emplace(ticket, std::move(state)).first->second;
     if (!this->enqueue(admitted)) {
-        this->give_up(ticket, passing(failure_code::overloaded, soon, "the queue is full"));
+        this->give_up(ticket, retryable_failure(failure_code::overloaded, short_retry_delay,
+                                                "the queue is full"));
         return;
     }
     this->dispatch(now);
@@ -155,32 +155,33 @@
 
 bool dispatcher::is_suspect(const request_state& state, instant now) const
 {
-    return this->suspects.look(state.what.fingerprint, now) == suspect_table::standing::suspect;
+    return this->suspects.status_of(state.request.fingerprint, now) ==
+           suspect_table::suspect_status::suspect;
 }
 
-placement dispatcher::place(const request_state& state, const std::string& target,
-                            instant now) const
+placement dispatcher::placement_for(const request_state& state, const std::string& target,
+                                    instant now) const
 {
     placement wanted;
     wanted.version_or_service = target;
-    wanted.is_service = state.what.is_service;
-    wanted.kind = state.what.work.kind;
+    wanted.is_service = state.request.is_service;
+    wanted.kind = state.request.work.kind;
     wanted.work = this->work_of(state);
-    wanted.reading = state.what.work.reading * this->size_factor(state);
+    wanted.reading = state.request.work.prefill * this->size_factor(state);
     wanted.parts = this->parts_of(state);
-    // Models share no cache, and so need not share endpoints.
-    wanted.prefix_hash = wanted.parts.empty() ? state.what.prefix_hash : wanted.parts.back().key;
-    wanted.packed = this->helps_to_fill(state, target);
+    // Models of different sizes share no cache, so their requests need not share endpoints.
+    wanted.prefix_hash = wanted.parts.empty() ? state.request.prefix_hash : wanted.parts.back().key;
+    wanted.packed = this->may_concentrate(state, target);
     if (now < state.avoid_until) {
         this->add_avoided(state, wanted);
     }
     if (this->is_suspect(state, now)) {
-        this->keep_suspect_apart(state, wanted, now);
+        this->isolate_suspect(state, wanted, now);
     }
     return wanted;
 }
 
-// An endpoint that has started again has neither refused the request nor lost it.
+// An endpoint that has restarted since has neither refused the request nor lost it.
 void dispatcher::add_avoided(const request_state& state, placement& wanted) const
 {
     for (const auto& [address, incarnation] : state.avoid) {
@@ -190,16 +191,16 @@
     }
 }
 
-bool dispatcher::runs_at_present_life(const request_state& state) const
+bool dispatcher::is_on_current_incarnation(const request_state& state) const
 {
     return !state.address.empty() && this->table.incarnation_of(state.address) == state.incarnation;
 }
 
-std::vector<endpoint_load> dispatcher::filling_loads() const
+std::vector<endpoint_load> dispatcher::concentrated_loads() const
 {
     std::set<std::string> filled;
     for (const auto& [ticket, state] : this->requests) {
-        if (state.packed && !state.address.empty()) {
+        if (state.concentrated && !state.address.empty()) {
             filled.insert(state.address);
         }
     }
@@ -216,28 +217,28 @@
     return held;
 }
 
-// Whether the request is one of those that fill one endpoint of the version.
-bool dispatcher::helps_to_fill(const request_state& state, const std::string& version) const
+// Whether the request is one of those concentrated on one endpoint of the version.
+bool dispatcher::may_concentrate(const request_state& state, const std::string& version) const
 {
-    return state.rollouts.fills_endpoint && !state.was_crowded_out &&
+    return state.rollouts.fills_endpoint && !state.was_displaced &&
            this->exposure.is_filled(version);
 }
 
-// Two suspects on one endpoint: if it crashes again, nobody can tell which of them did it, and the
-// innocent one would be quarantined with the other. Apart, a second crash names exactly one.
-// Suspects of two routers do not know of each other, so each router tries its own on endpoints of
-// its own: those whose place in the list is the router's rank, modulo the number of routers. With
-// fewer endpoints than routers the later ones hold theirs back for a while, until the culprit is
-// known by gossip.
-void dispatcher::keep_suspect_apart(const request_state& state, placement& wanted,
-                                    instant now) const
+// If an endpoint crashes with two suspects on it, the cause cannot be attributed, and quarantining
+// both would hit the innocent one. On separate endpoints, a second crash identifies exactly one.
+//
+// A router may not have received another router's suspects yet, so each router tries its own on a
+// separate set of endpoints: those whose index in the sorted list is the router's rank modulo the
+// number of routers. With fewer endpoints than routers, those without endpoints hold their suspects
+// back for a while, until gossip has spread which request is the cause.
+void dispatcher::isolate_suspect(const request_state& state, placement& wanted, instant now) const
 {
     for (const auto& [ticket, other] : this->requests) {
-        if (this->runs_at_present_life(other) && this->is_suspect(other, now)) {
+        if (this->is_on_current_incarnation(other) && this->is_suspect(other, now)) {
             wanted.avoid.push_back(other.address);
         }
     }
-    if (now - state.lost_at >= suspect_hold) {
+    if (now - state.lost_at >= suspect_isolation_period) {
         return;
     }
     auto addresses = this->table.addresses();
@@ -249,30 +250,30 @@
     }
 }
 
-std::optional<dispatcher::chosen_start> dispatcher::find_start(const request_state& state,
+std::optional<dispatcher::start_choice> dispatcher::find_start(const request_state& state,
                                                                instant now)
 {
-    auto target = state.what.asked;
+    auto target = state.request.asked;
     std::string exposed_by;
-    if (!state.what.is_service) {
-        auto chosen = this->ask_version(state, now);
+    if (!state.request.is_service) {
+        auto chosen = this->choose_version(state, now);
         target = std::move(chosen.answer.version);
         exposed_by = std::move(chosen.exposed_by);
     }
-    auto wanted = this->place(state, target, now);
+    auto wanted = this->placement_for(state, target, now);
     wanted.packed = wanted.packed && this->table.has_packed_room(wanted, this->fleet_size, now);
     auto address = this->table.choose(wanted, now, this->next_random());
     if (!address) {
         return std::nullopt;
     }
-    return chosen_start{std::move(*address), std::move(target), std::move(exposed_by),
+    return start_choice{std::move(*address), std::move(target), std::move(exposed_by),
                         wanted.packed};
 }
 
-// The operator may remove a team while its requests run, and each of them may come back to the
-// queue. A look that takes the team for granted threw there, and the router ended with all its
-// callers' connections. The queue needs any weight for it: nothing of the team starts any more, and
-// its turn only refuses it.
+// The operator may remove a team while its requests run, and each of them may be queued again. An
+// unchecked lookup of the team threw here, which ended the router and all its callers' connections.
+// The queue needs a weight, but any will do: nothing of the team starts any more, and the entry is
+// refused on its turn.
 double dispatcher::weight_of(const std::string& team) const
 {
     const auto& teams = this->config->teams();
@@ -283,21 +284,20 @@
 bool dispatcher::enqueue(const request_state& state)
 {
     queue_entry entry;
-    entry.ticket = state.what.ticket;
-    entry.team = state.what.team;
-    entry.weight = this->weight_of(state.what.team);
-    entry.kind = state.what.work.kind;
-    entry.priority = state.what.priority;
-    entry.work = state.what.work.tokens;
-    entry.deadline = state.what.deadline;
+    entry.ticket = state.request.ticket;
+    entry.team = state.request.team;
+    entry.weight = this->weight_of(state.request.team);
+    entry.kind = state.request.work.kind;
+    entry.priority = state.request.priority;
+    entry.work = state.request.work.tokens;
+    entry.deadline = state.request.deadline;
     return this->queue.push(std::move(entry));
 }
 
 void dispatcher::dispatch(instant now)
 {
-    // Without knowledge that the configuration is in force, a withdrawn version might be given
-    // work.
-    if (!this->is_in_touch(now) || !this->config) {
+    // Without a confirmed configuration, a withdrawn version might be given work.
+    if (!this->is_config_valid(now) || !this->config) {
         return;
     }
     const auto can_start = [this, now](const queue_entry& entry) {
@@ -322,35 +322,35 @@
     }
     const auto where = this->find_start(state, now);
     if (!where) {
-        // The draw fell on no endpoint this time.
-        this->queue.settle(state.what.team, state.what.work.tokens, 0.0);
+        // The random choice found no endpoint this time.
+        this->queue.settle(state.request.team, state.request.work.tokens, 0.0);
         this->retry(state);
         return;
     }
     this->start(state, *where, now);
 }
 
-void dispatcher::start(request_state& state, const chosen_start& where, instant now)
+void dispatcher::start(request_state& state, const start_choice& where, instant now)
 {
-    const auto& request = state.what;
+    const auto& request = state.request;
     ++state.attempt;
     state.resumes = 0;
     state.address = where.address;
     state.version = where.version;
     state.rollouts.ran_on = where.version;
     state.sent_at = now;
-    state.packed = where.packed;
-    if (state.packed) {
+    state.concentrated = where.concentrated;
+    if (state.concentrated) {
         const double load = this->table.writing_per_slot(where.address, this->fleet_size);
         state.load_level = load_level(load);
     }
-    state.writing = false;
-    state.own_size = state.size;
-    if (state.packed && request.sizes > 0) {
-        // The largest model's answer takes longest, and adds up with the others'.
+    state.answer_begun = false;
+    state.size_before_concentration = state.size;
+    if (state.concentrated && request.sizes > 0) {
+        // The largest model's answers take longest, so their load adds up.
         state.size = request.sizes - 1;
     }
-    // A caller counts once, however often its request is sent there.
+    // A caller counts once, however often its request is sent to the version.
     if (!where.exposed_by.empty() && where.exposed_by != state.rollouts.exposed_by) {
         this->exposure.spend(where.exposed_by);
         state.rollouts.exposed_by = where.exposed_by;
@@ -358,51 +358,52 @@
     state.incarnation = this->table.incarnation_of(where.address);
     state.parts = this->parts_of(state);
     const double cold = this->table.cold_work_at(where.address, state.parts, now);
-    state.reading = request.work.reading * this->size_factor(state) + cold;
-    state.held_work = this->work_of(state) + cold;
-    this->table.started(where.address, request.work.kind, state.held_work, state.parts, now);
+    state.prefill_work = request.work.prefill * this->size_factor(state) + cold;
+    state.outstanding_work = this->work_of(state) + cold;
+    this->table.started(where.address, request.work.kind, state.outstanding_work, state.parts, now);
     this->actions.emplace_back(
         start_attempt{request.ticket, state.attempt, where.address, where.version, state.size});
 }
 
-// A bad version can answer rightly and several times too slowly. Its answers are measured against
-// those of the version that serves beside it or served before, for the same size of model. First
-// pieces of streams wait for other callers' prompts, by anything up to seconds, and tell little.
-void dispatcher::note_speed(const request_state& state, duration first_token)
+// A bad version can answer correctly but several times too slowly. Its response times are compared
+// with those of the version that serves alongside or before it, for the same model size. The first
+// piece of a stream is not compared: it may wait up to seconds for other callers' prompts.
+void dispatcher::record_first_token(const request_state& state, duration first_token)
 {
-    if (!state.what.streamed && first_token > duration::zero()) {
-        this->weigh_speed(state, this->first_tokens, first_token);
+    if (!state.request.streamed && first_token > duration::zero()) {
+        this->evaluate_speed(state, this->first_tokens, first_token);
     }
 }
 
-// While an endpoint is being filled, each step in which it writes waits for a chunk of the next
-// prompt. A good version's first gaps are then several times the usual ones, and say nothing.
+// While an endpoint is being filled, each decoding step waits for a chunk of the next prompt. The
+// first gaps of a good version are then several times the usual ones and give no information.
 void dispatcher::on_pace(ticket_number ticket, attempt_number attempt, duration between_pieces)
 {
     const auto found = this->requests.find(ticket);
     if (found != this->requests.end() && found->second.attempt == attempt &&
-        !found->second.address.empty() && !found->second.packed) {
-        this->weigh_speed(found->second, this->paces, between_pieces);
+        !found->second.address.empty() && !found->second.concentrated) {
+        this->evaluate_speed(found->second, this->paces, between_pieces);
     }
 }
 
-void dispatcher::weigh_speed(const request_state& state, speed_reference& reference, duration time)
+void dispatcher::evaluate_speed(const request_state& state, speed_reference& reference,
+                                duration time)
 {
-    if (state.what.is_service) {
+    if (state.request.is_service) {
         return;
     }
     if (!this->exposure.watches(state.version)) {
-        reference.learn(state.what.asked, state.size, time);
+        reference.learn(state.request.asked, state.size, time);
         return;
     }
-    const auto slow = reference.is_slow(state.what.asked, state.size, time);
+    const auto slow = reference.is_slow(state.request.asked, state.size, time);
     if (slow) {
         this->exposure.on_speed(state.version, *slow);
     }
 }
 
-// Half of a good version's streams keep to the middle pace, and four of five to twice that. A
-// version that is several times slower keeps hardly one stream within.
+// Half of a good version's streams stay within the median pace, and four of five within twice that.
+// Of a version that is several times slower, hardly any stream does.
 speed_reference_settings dispatcher::pace_settings()
 {
     speed_reference_settings settings;
@@ -414,14 +415,15 @@
 
 double dispatcher::size_factor(const request_state& state) const
 {
-    const bool is_small = state.size + 1 < state.what.sizes;
-    return is_small ? this->settings.small_model_work : 1.0;
+    const bool is_small = state.size + 1 < state.request.sizes;
+    return is_small ? this->settings.small_model_work_factor : 1.0;
 }
 
-// The shared parts of the prompt as the next or present attempt's model knows them.
+// The shared parts of the prompt, with cache keys and work for the model of the next or current
+// attempt.
 std::vector<prompt_part> dispatcher::parts_of(const request_state& state) const
 {
-    auto parts = state.what.parts;
+    auto parts = state.request.parts;
     for (auto& part : parts) {
         part.key = mix(part.key + state.size);
         part.work *= this->size_factor(state);
@@ -429,10 +431,10 @@
     return parts;
 }
 
-// What the next or present attempt weighs on its endpoint.
+// The load of the next or current attempt on its endpoint.
 double dispatcher::work_of(const request_state& state) const
 {
-    return state.what.work.tokens * this->size_factor(state);
+    return state.request.work.tokens * this->size_factor(state);
 }
 
 void dispatcher::on_caller_gone(ticket_number ticket, instant now)
@@ -453,18 +455,19 @@
 
 void dispatcher::cancel_run(const request_state& state, instant now)
 {
-    const auto& request = state.what;
+    const auto& request = state.request;
     this->actions.emplace_back(cancel_attempt{request.ticket, state.attempt, state.address});
-    this->count_end(state, attempt_result::cancelled, duration::zero(), now);
+    this->record_attempt_end(state, attempt_result::cancelled, duration::zero(), now);
     this->queue.settle(request.team, request.work.tokens, request.work.tokens);
 }
 
-// Callers whose connections were closed without a word could not tell a stop from a broken network,
-// nor what had run. What waits in the queue goes first: of what was never sent it can be said that
-// it has not run.
+// Every caller gets an explicit failure: after a bare disconnect it could not tell a stop from a
+// network failure, nor whether its request ran. Queued requests are given up first, because those
+// that were never sent can be reported as not run.
 void dispatcher::end_stop(instant now)
 {
-    this->give_up_all_queued(passing(failure_code::stopping, soon, "this router has stopped"));
+    this->give_up_all_queued(
+        retryable_failure(failure_code::stopping, short_retry_delay, "this router has stopped"));
     std::vector<ticket_number> running;
     for (const auto& [ticket, state] : this->requests) {
         running.push_back(ticket);
@@ -472,12 +475,12 @@
     for (const auto ticket : running) {
         const auto& state = this->requests.at(ticket);
         this->cancel_run(state, now);
-        this->give_up(ticket, {failure_code::stopping, run_state::unknown, state.what.idempotent,
-                               soon, "this router stopped while the request ran"});
+        this->give_up(ticket, {failure_code::stopping, run_state::unknown, state.request.idempotent,
+                               short_retry_delay, "this router stopped while the request ran"});
     }
 }
 
-void dispatcher::on_tick(instant now, instant heard_until)
+void dispatcher::on_tick(instant now, instant events_read_until)
 {
     for (const auto& entry : this->queue.expire(now)) {
         const auto& state = this->requests.at(entry.ticket);
@@ -486,25 +489,27 @@
                       {failure_code::deadline_passed, run, true, this->expected_wait(),
                        "the deadline passed while the request was queued"});
     }
-    if (this->is_long_out_of_touch(now)) {
-        this->give_up_all_queued(passing(failure_code::not_in_touch, soon,
-                                         "the configuration in force cannot be confirmed"));
+    if (this->is_config_grace_over(now)) {
+        this->give_up_all_queued(
+            retryable_failure(failure_code::config_unconfirmed, short_retry_delay,
+                              "the configuration in force cannot be confirmed"));
     }
-    this->give_up_overdue(now, heard_until);
-    this->note_finished_work(0.0, now);
+    this->give_up_overdue(now, events_read_until);
+    this->record_finished_work(0.0, now);
     this->dispatch(now);
 }
 
-// Ends runs that are past their deadline: the caller has no use for the rest, the endpoint has.
-void dispatcher::give_up_overdue(instant now, instant heard_until)
+// Cancels runs that are past their deadline: the caller no longer needs the answer, and the
+// endpoint can use the capacity.
+void dispatcher::give_up_overdue(instant now, instant events_read_until)
 {
-    if (now - this->overdue_checked < overdue_period) {
+    if (now - this->last_overdue_check < overdue_check_period) {
         return;
     }
-    this->overdue_checked = now;
+    this->last_overdue_check = now;
     std::vector<ticket_number> overdue;
     for (const auto& [ticket, state] : this->requests) {
-        if (!state.address.empty() && heard_until >= state.what.deadline) {
+        if (!state.address.empty() && events_read_until >= state.request.deadline) {
             overdue.push_back(ticket);
         }
     }
@@ -512,8 +517,8 @@
         const auto& state = this->requests.at(ticket);
         this->cancel_run(state, now);
         this->give_up(ticket,
-                      {failure_code::deadline_passed, run_state::unknown, state.what.idempotent,
-                       soon, "the deadline passed while the request ran"});
+                      {failure_code::deadline_passed, run_state::unknown, state.request.idempotent,
+                       short_retry_delay, "the deadline passed while the request ran"});
     }
 }
 
@@ -526,12 +531,12 @@
         }
     }
     for (const auto ticket : waiting) {
-        auto told = why;
+        auto cause = why;
         if (this->requests.at(ticket).may_have_run) {
-            told.run = run_state::unknown;
+            cause.run = run_state::unknown;
         }
         this->queue.remove(ticket);
-        this->give_up(ticket, std::move(told));
+        this->give_up(ticket, std::move(cause));
     }
 }
 
@@ -544,7 +549,8 @@
 double dispatcher::long_arrival_rate(const std::string& asked) const
 {
     const auto found = this->arrivals_by_target.find(asked);
-    return found == this->arrivals_by_target.end() ? 0.0 : found->second.that_fill.per_second;
+    return found == this->arrivals_by_target.end() ? 0.0
+                                                   : found->second.endpoint_filling.per_second;
 }
 
 duration dispatcher::expected_wait() const
@@ -556,33 +562,33 @@
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(seconds));
 }
 
-void dispatcher::settle_rate(counted_arrivals& counted, double seconds)
+void dispatcher::update_rate(arrival_counter& counted, double seconds)
 {
     const double rate = counted.in_period / seconds;
     counted.per_second += rate_gain * (rate - counted.per_second);
     counted.in_period = 0;
 }
 
-void dispatcher::note_finished_work(double work, instant now)
+void dispatcher::record_finished_work(double work, instant now)
 {
     this->work_in_period += work;
-    const auto elapsed = now - this->rate_since;
+    const auto elapsed = now - this->rate_period_start;
     if (elapsed < rate_period) {
         return;
     }
     const double seconds = std::chrono::duration<double>(elapsed).count();
     const double newest = this->work_in_period / seconds;
-    // A quiet period says nothing of what the endpoints can do.
+    // An idle period gives no information about the endpoints' throughput.
     if (this->work_in_period > 0.0) {
         const bool first = this->work_per_second <= 0.0;
         this->work_per_second += (first ? 1.0 : rate_gain) * (newest - this->work_per_second);
     }
     for (auto& [asked, arrivals] : this->arrivals_by_target) {
-        settle_rate(arrivals.all, seconds);
-        settle_rate(arrivals.that_fill, seconds);
+        update_rate(arrivals.all, seconds);
+        update_rate(arrivals.endpoint_filling, seconds);
     }
     this->work_in_period = 0.0;
-    this->rate_since = now;
+    this->rate_period_start = now;
 }
 
 void dispatcher::give_up(ticket_number ticket, failure why)
@@ -594,17 +600,17 @@
 void dispatcher::forget(ticket_number ticket)
 {
     const auto found = this->requests.find(ticket);
-    const auto held = this->team_in_flight.find(found->second.what.team);
+    const auto held = this->team_in_flight.find(found->second.request.team);
     if (--held->second == 0) {
         this->team_in_flight.erase(held);
     }
     this->requests.erase(found);
 }
 
-void dispatcher::publish_standings()
+void dispatcher::publish_suspect_statuses()
 {
-    for (const auto& [fingerprint, standing] : this->suspects.take_news()) {
-        this->actions.emplace_back(announce_standing{fingerprint, standing});
+    for (const auto& [fingerprint, suspect_status] : this->suspects.take_changes()) {
+        this->actions.emplace_back(announce_suspect_status{fingerprint, suspect_status});
     }
 }
 
--- a/decision/src/suspects.cpp
+++ b/decision/src/suspects.cpp
@@ -15,7 +15,7 @@
 
 void add_part(XXH64_state_t* state, std::string_view part)
 {
-    // The length keeps ("ab", "c") apart from ("a", "bc").
+    // Hashing the length distinguishes ("ab", "c") from ("a", "bc").
     const std::uint64_t length = part.size();
     XXH64_update(state, &length, sizeof length);
     XXH64_update(state, part.data(), part.size());
@@ -37,33 +37,37 @@
 public:
     explicit state(suspect_settings bounds) : settings(bounds) {}
 
-    [[nodiscard]] standing look(std::uint64_t fingerprint, instant now) const;
-    void put(std::uint64_t fingerprint, standing held, instant now);
+    [[nodiscard]] suspect_status status_of(std::uint64_t fingerprint, instant now) const;
+    void set_status(std::uint64_t fingerprint, suspect_status status, instant now);
     void erase(std::uint64_t fingerprint);
-    void tell(std::uint64_t fingerprint, standing held);
+    void record_change(std::uint64_t fingerprint, suspect_status status);
 
     suspect_settings settings;
-    std::unordered_map<std::uint64_t, std::pair<standing, instant>> records; // with their expiry
+
+    // Status and expiry.
+    std::unordered_map<std::uint64_t, std::pair<suspect_status, instant>> records;
     std::set<std::pair<instant, std::uint64_t>> by_expiry;
-    std::vector<std::pair<std::uint64_t, standing>> news;
+    std::vector<std::pair<std::uint64_t, suspect_status>> changes;
 };
 
-suspect_table::standing suspect_table::state::look(std::uint64_t fingerprint, instant now) const
+suspect_table::suspect_status suspect_table::state::status_of(std::uint64_t fingerprint,
+                                                              instant now) const
 {
     const auto found = this->records.find(fingerprint);
     const bool holds = found != this->records.end() && now < found->second.second;
-    return holds ? found->second.first : standing::clear;
+    return holds ? found->second.first : suspect_status::clear;
 }
 
-void suspect_table::state::put(std::uint64_t fingerprint, standing held, instant now)
+void suspect_table::state::set_status(std::uint64_t fingerprint, suspect_status status, instant now)
 {
     this->erase(fingerprint);
-    const bool quarantined = held == standing::quarantined;
+    const bool quarantined = status == suspect_status::quarantined;
     const instant until =
         now + (quarantined ? this->settings.quarantine : this->settings.suspicion);
-    this->records.emplace(fingerprint, std::make_pair(held, until));
+    this->records.emplace(fingerprint, std::make_pair(status, until));
     this->by_expiry.emplace(until, fingerprint);
-    // Of too many, those go that would have expired first; suspicions before quarantines.
+    // Above the limit, entries that expire first are removed; suspects expire before quarantined
+    // requests.
     while (!this->by_expiry.empty() && (this->by_expiry.size() > this->settings.max_entries ||
                                         this->by_expiry.begin()->first <= now)) {
         this->erase(this->by_expiry.begin()->second);
@@ -79,10 +83,10 @@
     }
 }
 
-void suspect_table::state::tell(std::uint64_t fingerprint, standing held)
+void suspect_table::state::record_change(std::uint64_t fingerprint, suspect_status status)
 {
-    if (this->news.size() < this->settings.max_entries) {
-        this->news.emplace_back(fingerprint, held);
+    if (this->changes.size() < this->settings.max_entries) {
+        this->changes.emplace_back(fingerprint, status);
     }
 }
 
@@ -92,61 +96,63 @@
 
 suspect_table::~suspect_table() = default;
 
-suspect_table::standing suspect_table::look(std::uint64_t fingerprint, instant now) const
+suspect_table::suspect_status suspect_table::status_of(std::uint64_t fingerprint, instant now) const
 {
-    return this->inner->look(fingerprint, now);
+    return this->inner->status_of(fingerprint, now);
 }
 
 std::vector<std::uint64_t> suspect_table::on_crash(const std::vector<std::uint64_t>& in_flight,
                                                    instant now)
 {
-    // A request may run twice on one endpoint; that is one strike.
-    const std::set<std::uint64_t> struck(in_flight.begin(), in_flight.end());
+    // A request may run twice on one endpoint; that counts as one crash.
+    const std::set<std::uint64_t> crashed_requests(in_flight.begin(), in_flight.end());
     std::vector<std::uint64_t> suspects;
-    for (const std::uint64_t name : struck) {
-        const standing before = this->look(name, now);
-        if (before == standing::suspect) {
-            suspects.push_back(name);
+    for (const std::uint64_t request : crashed_requests) {
+        const suspect_status before = this->status_of(request, now);
+        if (before == suspect_status::suspect) {
+            suspects.push_back(request);
         }
-        if (before == standing::clear) {
-            this->inner->put(name, standing::suspect, now);
-            this->inner->tell(name, standing::suspect);
+        if (before == suspect_status::clear) {
+            this->inner->set_status(request, suspect_status::suspect, now);
+            this->inner->record_change(request, suspect_status::suspect);
         }
     }
-    // Two suspects on one endpoint, as when another router's news came too late to keep them apart:
-    // one of them is innocent, and its caller would be refused for good. The next crash tells.
+    // Several suspects on one endpoint, for example because another router's update arrived too
+    // late to keep them apart: at least one of them is innocent and would be refused permanently.
+    // The next crash identifies the cause.
     if (suspects.size() != 1) {
         return {};
     }
-    this->inner->put(suspects.front(), standing::quarantined, now);
-    this->inner->tell(suspects.front(), standing::quarantined);
+    this->inner->set_status(suspects.front(), suspect_status::quarantined, now);
+    this->inner->record_change(suspects.front(), suspect_status::quarantined);
     return suspects;
 }
 
 void suspect_table::on_finished(std::uint64_t fingerprint, instant now)
 {
-    if (this->look(fingerprint, now) == standing::suspect) {
+    if (this->status_of(fingerprint, now) == suspect_status::suspect) {
         this->inner->erase(fingerprint);
-        this->inner->tell(fingerprint, standing::clear);
+        this->inner->record_change(fingerprint, suspect_status::clear);
     }
 }
 
-void suspect_table::learn(std::uint64_t fingerprint, standing told, instant now)
+void suspect_table::apply_peer_status(std::uint64_t fingerprint, suspect_status reported,
+                                      instant now)
 {
-    // News may come late and out of order; none lifts a quarantine.
-    if (this->look(fingerprint, now) == standing::quarantined) {
+    // Updates may arrive late and out of order; none of them lifts a quarantine.
+    if (this->status_of(fingerprint, now) == suspect_status::quarantined) {
         return;
     }
-    if (told == standing::clear) {
+    if (reported == suspect_status::clear) {
         this->inner->erase(fingerprint);
         return;
     }
-    this->inner->put(fingerprint, told, now);
+    this->inner->set_status(fingerprint, reported, now);
 }
 
-std::vector<std::pair<std::uint64_t, suspect_table::standing>> suspect_table::take_news()
+std::vector<std::pair<std::uint64_t, suspect_table::suspect_status>> suspect_table::take_changes()
 {
-    return std::exchange(this->inner->news, {});
+    return std::exchange(this->inner->changes, {});
 }
 
 std::size_t suspect_table::size() const
--- a/decision/test/suspects_test.cpp
+++ b/decision/test/suspects_test.cpp
@@ -9,7 +9,7 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace pearhaven::decision;
-using standing = suspect_table::standing;
+using suspect_status = suspect_table::suspect_status;
 
 namespace {
 
@@ -19,96 +19,97 @@
 
 TEST_GROUP(suspects_test){};
 
-TEST(suspects_test, a_fingerprint_depends_on_each_part_and_on_where_it_ends)
+TEST(suspects_test, a_fingerprint_depends_on_each_part_and_on_its_length)
 {
-    const auto usual = fingerprint("deposits", "reader", "body");
-    CHECK_TRUE(usual == fingerprint("deposits", "reader", "body"));
-    CHECK_TRUE(usual != fingerprint("bookings", "reader", "body"));
-    CHECK_TRUE(usual != fingerprint("depositsr", "eader", "body"));
-    CHECK_TRUE(usual != fingerprint("deposits", "reader", "body "));
+    const auto base = fingerprint("deposits", "reader", "body");
+    CHECK_TRUE(base == fingerprint("deposits", "reader", "body"));
+    CHECK_TRUE(base != fingerprint("bookings", "reader", "body"));
+    CHECK_TRUE(base != fingerprint("depositsr", "eader", "body"));
+    CHECK_TRUE(base != fingerprint("deposits", "reader", "body "));
 }
 
 TEST(suspects_test, the_second_crash_of_a_suspect_quarantines_it_alone)
 {
-    // Caller and fleet: a request crashes its endpoint, is retried and crashes the next. What ran
-    // beside it at the first crash finishes elsewhere; what ran beside it at the second is only
-    // suspect, and no third endpoint is lost.
+    // A request crashes its endpoint, is retried and crashes the next one. A request that ran
+    // alongside the first crash finishes elsewhere; one that ran alongside the second is only
+    // suspect. No third endpoint is lost.
     suspect_table table;
     CHECK_TRUE(table.on_crash({1, 2}, now).empty());
-    CHECK_TRUE(standing::suspect == table.look(1, now));
+    CHECK_TRUE(suspect_status::suspect == table.status_of(1, now));
     table.on_finished(2, now);
     CHECK_TRUE(std::vector<std::uint64_t>{1} == table.on_crash({1, 3}, now));
-    CHECK_TRUE(standing::quarantined == table.look(1, now));
-    CHECK_TRUE(standing::clear == table.look(2, now));
-    CHECK_TRUE(standing::suspect == table.look(3, now));
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now));
+    CHECK_TRUE(suspect_status::clear == table.status_of(2, now));
+    CHECK_TRUE(suspect_status::suspect == table.status_of(3, now));
 }
 
-TEST(suspects_test, one_crash_under_a_request_sent_twice_is_one_strike)
+TEST(suspects_test, a_request_sent_twice_counts_once_per_crash)
 {
     suspect_table table;
     table.on_crash({1, 1}, now);
-    CHECK_TRUE(standing::suspect == table.look(1, now));
+    CHECK_TRUE(suspect_status::suspect == table.status_of(1, now));
 }
 
-TEST(suspects_test, of_two_suspects_on_a_crashed_endpoint_none_is_quarantined)
+TEST(suspects_test, two_suspects_on_a_crashed_endpoint_are_not_quarantined)
 {
-    // An innocent caller is refused for good. Its request was suspect after one crash and ran
-    // beside the guilty one again, since another router had not yet heard of either.
+    // An innocent request became suspect after one crash, and ran together with the crashing one
+    // again because another router had not yet received either status. Quarantining both would
+    // refuse its caller permanently.
     suspect_table table;
     table.on_crash({1, 2}, now);
     CHECK_TRUE(table.on_crash({1, 2}, now).empty());
     CHECK_TRUE(std::vector<std::uint64_t>{1} == table.on_crash({1}, now));
 }
 
-TEST(suspects_test, standings_expire)
+TEST(suspects_test, suspect_statuses_expire)
 {
     suspect_table table({10, std::chrono::minutes(1), std::chrono::minutes(5)});
     table.on_crash({1}, now);
-    CHECK_TRUE(standing::clear == table.look(1, now + std::chrono::minutes(1)));
-    table.learn(1, standing::quarantined, now);
-    CHECK_TRUE(standing::quarantined == table.look(1, now + std::chrono::minutes(4)));
-    table.learn(2, standing::suspect, now + std::chrono::minutes(6));
+    CHECK_TRUE(suspect_status::clear == table.status_of(1, now + std::chrono::minutes(1)));
+    table.apply_peer_status(1, suspect_status::quarantined, now);
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now + std::chrono::minutes(4)));
+    table.apply_peer_status(2, suspect_status::suspect, now + std::chrono::minutes(6));
     CHECK_EQUAL(1U, table.size());
 }
 
-TEST(suspects_test, of_too_many_entries_suspicions_go_before_quarantines)
+TEST(suspects_test, suspects_are_evicted_before_quarantined_requests)
 {
     suspect_table table({2, std::chrono::minutes(10), std::chrono::hours(1)});
-    table.learn(1, standing::quarantined, now);
+    table.apply_peer_status(1, suspect_status::quarantined, now);
     table.on_crash({2, 3}, now);
     CHECK_EQUAL(2U, table.size());
-    CHECK_TRUE(standing::quarantined == table.look(1, now));
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now));
 }
 
-TEST(suspects_test, news_tells_what_was_found_here_once)
+TEST(suspects_test, each_local_change_is_returned_once)
 {
     suspect_table table;
-    table.learn(9, standing::suspect, now);
+    table.apply_peer_status(9, suspect_status::suspect, now);
     table.on_crash({1, 9}, now);
     table.on_finished(1, now);
-    const std::vector<std::pair<std::uint64_t, standing>> expected = {
-        {1, standing::suspect}, {9, standing::quarantined}, {1, standing::clear}};
-    CHECK_TRUE(expected == table.take_news());
-    CHECK_TRUE(table.take_news().empty());
+    const std::vector<std::pair<std::uint64_t, suspect_status>> expected = {
+        {1, suspect_status::suspect}, {9, suspect_status::quarantined}, {1, suspect_status::clear}};
+    CHECK_TRUE(expected == table.take_changes());
+    CHECK_TRUE(table.take_changes().empty());
 }
 
-TEST(suspects_test, late_news_lifts_no_quarantine)
+TEST(suspects_test, a_late_update_does_not_lift_a_quarantine)
 {
     suspect_table table;
-    table.learn(1, standing::quarantined, now);
-    table.learn(1, standing::suspect, now);
-    table.learn(1, standing::clear, now);
+    table.apply_peer_status(1, suspect_status::quarantined, now);
+    table.apply_peer_status(1, suspect_status::suspect, now);
+    table.apply_peer_status(1, suspect_status::clear, now);
     table.on_finished(1, now);
-    CHECK_TRUE(standing::quarantined == table.look(1, now));
+    CHECK_TRUE(suspect_status::quarantined == table.status_of(1, now));
 }
 
 namespace {
 
-// Endpoints on which requests run. The guilty one crashes its endpoint sooner or later; suspects
-// are kept apart, as the table asks; callers send everything again.
-class played_fleet {
+// Simulates endpoints that run requests. The crashing request eventually crashes its endpoint,
+// suspects are kept apart as the table requires, and callers resend everything.
+class simulated_fleet {
 public:
-    void play_one_event()
+    void simulate_one_event()
     {
         const auto request = *rc::gen::inRange<std::uint64_t>(guilty, guilty + 12);
         const auto endpoint = *rc::gen::inRange(0, 4);
@@ -119,7 +120,7 @@
         }
         RC_ASSERT(this->crashes <= 2);
         for (std::uint64_t innocent = guilty + 1; innocent < guilty + 12; ++innocent) {
-            RC_ASSERT(this->table.look(innocent, now) != standing::quarantined);
+            RC_ASSERT(this->table.status_of(innocent, now) != suspect_status::quarantined);
         }
     }
 
@@ -139,10 +140,10 @@
 private:
     [[nodiscard]] bool is_suspect(std::uint64_t request) const
     {
-        return this->table.look(request, now) == standing::suspect;
+        return this->table.status_of(request, now) == suspect_status::suspect;
     }
 
-    // One copy of a request at a time: a router gives a resend the state of the first.
+    // One copy of a request at a time: a router joins a resend with the first send.
     void start(std::uint64_t request, int endpoint)
     {
         bool runs = false;
@@ -152,7 +153,7 @@
         auto& here = this->running[endpoint];
         const bool shares = std::any_of(here.begin(), here.end(),
                                         [this](auto other) { return this->is_suspect(other); });
-        const bool quarantined = this->table.look(request, now) == standing::quarantined;
+        const bool quarantined = this->table.status_of(request, now) == suspect_status::quarantined;
         if (!runs && !quarantined && !(this->is_suspect(request) && shares)) {
             here.push_back(request);
         }
@@ -179,12 +180,12 @@
 
 } // namespace
 
-TEST(suspects_test, two_crashes_at_most_and_no_innocent_in_quarantine_whatever_the_schedule)
+TEST(suspects_test, at_most_two_crashes_and_no_innocent_quarantined_under_random_schedules)
 {
     CHECK_TRUE(rc::check("crashes", [] {
-        played_fleet fleet;
+        simulated_fleet fleet;
         for (int event = 0; event < 150; ++event) {
-            fleet.play_one_event();
+            fleet.simulate_one_event();
         }
         fleet.end_all();
         RC_ASSERT(fleet.crashes <= 2);
