--- a/coordination/include/pearhaven/coordination/peer_exchange.hpp
+++ b/coordination/include/pearhaven/coordination/peer_exchange.hpp
@@ -37,10 +37,10 @@
 
     // Peers that hear of own loads, those in the zone first. It bounds what a large fleet sends;
     // most requests stay in their zone.
-    std::size_t most_told = decision::told_usually;
+    std::size_t most_told = decision::load_fanout;
 
     // Peers that hear of what this router holds at an endpoint that many fill together.
-    std::size_t most_told_when_filling = decision::told_when_filling;
+    std::size_t most_told_when_filling = decision::load_fanout_when_filling;
 
     // Time between two questions to peers while the store does not answer this router.
     decision::duration pull_period = std::chrono::milliseconds{300};
--- a/coordination/test/peer_exchange_test.cpp
+++ b/coordination/test/peer_exchange_test.cpp
@@ -11,8 +11,8 @@
 using namespace pearhaven::coordination;
 using pearhaven::decision::endpoint_load;
 using pearhaven::decision::instant;
-using pearhaven::decision::told_usually;
-using pearhaven::decision::told_when_filling;
+using pearhaven::decision::load_fanout;
+using pearhaven::decision::load_fanout_when_filling;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -93,7 +93,7 @@
 // Guards against routers that fill one endpoint and hear too little of each other to stop in time.
 TEST(peer_exchange, more_peers_hear_of_an_endpoint_that_is_being_filled)
 {
-    constexpr std::size_t others = told_when_filling - told_usually;
+    constexpr std::size_t others = load_fanout_when_filling - load_fanout;
     auto exchange = make_exchange("edge-100");
     set_peers(exchange, 200);
     const std::vector<endpoint_load> filling = {{"e2", 1, 60.0}};
@@ -102,12 +102,12 @@
     for (const auto& send : exchange.on_tick(all, {true, 5}, start, filling)) {
         told[send.to.host] = std::get<load_push>(send.message).loads;
     }
-    CHECK_EQUAL(told_when_filling, told.size());
+    CHECK_EQUAL(load_fanout_when_filling, told.size());
     const auto of_filling = [&filling](const auto& one) { return one.second == filling; };
     LONGS_EQUAL(others, std::count_if(told.begin(), told.end(), of_filling));
     const auto next = start + milliseconds(100);
     const std::vector<endpoint_load> other = {{"e1", 3, 99.0}, {"e2", 1, 60.0}};
-    CHECK_EQUAL(told_usually, exchange.on_tick(other, {true, 5}, next, filling).size());
+    CHECK_EQUAL(load_fanout, exchange.on_tick(other, {true, 5}, next, filling).size());
     const auto last = next + milliseconds(100);
     CHECK_EQUAL(others, exchange.on_tick(other, {true, 5}, last, {}).size());
     CHECK_EQUAL(0U, exchange.on_tick(other, {true, 5}, last, {}).size());
--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -99,7 +99,7 @@
         const auto plan = this->plan_of_trial(size);
         this->introduce(size);
         dispatcher_settings settings;
-        settings.endpoints.weighs_all = true;
+        settings.endpoints.compares_all = true;
         settings.endpoints.typical_work = 14.0;
         settings.max_refusals = 6;
         settings.retry_share = 0.0;
--- a/decision/include/pearhaven/decision/dispatcher.hpp
+++ b/decision/include/pearhaven/decision/dispatcher.hpp
@@ -229,7 +229,7 @@
     // As `on_hosts` with a list so changed. The cost does not grow with the other hosts. Tells the
     // lives that ended by it; whoever keeps connections to them must not use these for what the
     // actions then start.
-    std::vector<ended_life> on_host_changes(const host_changes& changes, instant now);
+    std::vector<ended_incarnation> on_host_changes(const host_changes& changes, instant now);
 
     // False for a report that says nothing of the endpoint as it is known now.
     bool on_load_report(const std::string& address, const load_report& report, instant now);
@@ -242,7 +242,7 @@
     void on_standing_told(std::uint64_t fingerprint, suspect_table::standing standing, instant now);
 
     // Another router's evidence has tripped this attempt at rolling the version out.
-    void on_trip_told(const std::string& version, std::uint64_t run, instant now);
+    void on_peer_trip(const std::string& version, std::uint64_t run, instant now);
 
     // Until when this router may take its configuration for the one in force. A time and not a yes
     // or no: a process that was paused finds on waking that it has passed, before it hears
@@ -332,7 +332,7 @@
         std::uint32_t size = 0; // of the model that the next attempt asks for
         instant arrived;
         instant sent_at;                // the present attempt
-        bool packed = false;            // the present attempt helps to fill one endpoint
+        bool concentrated = false;      // the present attempt helps to fill one endpoint
         bool was_crowded_out = false;   // the endpoint that is being filled has refused it
         std::uint32_t own_size = 0;     // `size`, before that endpoint made it the largest
         std::size_t load_level = 0;     // if so: of that endpoint when it was sent
@@ -340,7 +340,7 @@
         double held_work = 0.0;         // of the present attempt, that its endpoint still has to do
         double reading = 0.0;           // of that, what is done once the answer begins
         std::vector<prompt_part> parts; // of the present attempt, by model
-        rollout_note rollouts;
+        rollout_context rollouts;
     };
 
     struct counted_arrivals {
@@ -350,14 +350,14 @@
 
     struct target_arrivals {
         counted_arrivals all;
-        counted_arrivals that_fill; // of these, see `rollout_note::fills_endpoint`
+        counted_arrivals that_fill; // of these, see `rollout_context::fills_endpoint`
     };
 
     struct chosen_start {
         std::string address;
         std::string version;
         std::string exposed_by;
-        bool packed = false;
+        bool concentrated = false;
     };
 
     [[nodiscard]] std::optional<failure> admission_failure(const arrival& request,
--- a/decision/include/pearhaven/decision/endpoint_table.hpp
+++ b/decision/include/pearhaven/decision/endpoint_table.hpp
@@ -31,12 +31,12 @@
 
 // A listed endpoint's process that is there no longer: the list names its address no more, or
 // another process at it.
-struct ended_life {
+struct ended_incarnation {
     std::string address;
     std::uint64_t incarnation = 0;
     std::optional<std::uint64_t> next; // incarnation of the process that took its place
 
-    friend bool operator==(const ended_life&, const ended_life&) = default;
+    friend bool operator==(const ended_incarnation&, const ended_incarnation&) = default;
 };
 
 // What an endpoint said of itself, `age` before it was received.
@@ -88,7 +88,7 @@
     bool is_service = false;
     work_class kind = work_class::lookup;
     double work = 0.0;
-    bool packed = false;           // on the one endpoint that all routers choose, while it has room
+    bool concentrated = false;     // on the one endpoint that all routers choose, while it has room
     std::uint64_t prefix_hash = 0; // of the prompt's beginning; 0: no affinity
     double reading = 0.0;          // of `work`, done before the answer begins
     std::vector<prompt_part> parts; // on top of `work` where they are not cached, in their order
@@ -99,8 +99,8 @@
 
 // Routers that each router tells of its load, and of what it holds at an endpoint that many fill
 // together: there each stops by what it hears of all the others' requests.
-inline constexpr std::size_t told_usually = 16;
-inline constexpr std::size_t told_when_filling = 128;
+inline constexpr std::size_t load_fanout = 16;
+inline constexpr std::size_t load_fanout_when_filling = 128;
 
 struct endpoint_table_settings {
     std::string zone;
@@ -111,20 +111,20 @@
 
     // Where all are weighed: what a millisecond of reading anew costs, against one of waiting. All
     // that comes to the endpoint later waits for it as well.
-    double cold_price = 3.0;
+    double cold_read_cost = 3.0;
 
     // Requests for each slot of the endpoint that packed ones go to, up to which it gets more.
-    double packed_per_slot = 1.25;
+    double concentrated_per_slot = 1.25;
 
     // Whether all open endpoints are weighed against each other, for routers that tell each other
     // what they hold. By its own work alone a router does better to draw two and take the better
     // one: it would send to the one that all others choose as well.
-    bool weighs_all = false;
+    bool compares_all = false;
 
     // Where all are weighed: load that a millisecond of reading adds for each answer that is being
     // written there, as a part of its own. An engine reads prompts between the steps in which it
     // writes, so everybody waits for a prompt that is being read.
-    double reading_harm = 0.05;
+    double reading_interference = 0.05;
     double affinity_free_share = 0.25;  // of an endpoint's capacity that affinity may always fill
     double affinity_load_factor = 1.25; // of the mean load, up to which a warm endpoint is kept
 
@@ -137,7 +137,8 @@
     double report_overcommit = 1.25; // of a reported capacity: covers what the lag hides
     double typical_work = 500.0;     // work that loads an endpoint as much as one request does
     duration report_lifetime = std::chrono::seconds(2); // a load report older than that is dropped
-    duration told_lifetime = std::chrono::seconds(1);   // likewise, of what a router says it holds
+    duration peer_load_lifetime =
+        std::chrono::seconds(1); // likewise, of what a router says it holds
 
     std::uint32_t failures_to_eject = 3; // in a row
     double slow_factor = 4.0; // times the peers' median first-token latency that eject an endpoint
@@ -147,7 +148,7 @@
     duration longest_ejection = std::chrono::seconds(10);
 
     // For which an unlisted host's leaving and its incarnations are remembered.
-    duration leaving_memory = std::chrono::minutes(10);
+    duration departed_retention = std::chrono::minutes(10);
 
     // Whether host lists come in the order in which they were made, as from a store that orders the
     // writes of a key. An incarnation is then only compared for being another: its number comes
@@ -175,12 +176,12 @@
     // counts no longer. Newer is a higher one; where lists come in order, any that was not replaced
     // before. An incarnation that is older than the known one is passed over. Tells the lives that
     // ended by it.
-    std::vector<ended_life> set_hosts(const std::vector<endpoint_host>& hosts, instant now);
+    std::vector<ended_incarnation> set_hosts(const std::vector<endpoint_host>& hosts, instant now);
 
     // As the last whole list, with this host added or in the place of the one at its address; or
     // without the one at the address. The cost does not grow with the other endpoints.
-    std::vector<ended_life> set_host(const endpoint_host& host, instant now);
-    std::vector<ended_life> drop_host(const std::string& address, instant now);
+    std::vector<ended_incarnation> set_host(const endpoint_host& host, instant now);
+    std::vector<ended_incarnation> drop_host(const std::string& address, instant now);
 
     // The incarnation at the address gets no new work. 0 means the one now known. The mark does not
     // bind a newer one, and that of an incarnation already replaced is passed over.
@@ -200,8 +201,8 @@
                const std::vector<prompt_part>& parts = {});
 
     // Part of the work of an attempt under way is done. Its `ended` is told the rest.
-    void lightened(const std::string& address, double work,
-                   std::optional<std::uint64_t> incarnation = std::nullopt);
+    void work_completed(const std::string& address, double work,
+                        std::optional<std::uint64_t> incarnation = std::nullopt);
 
     // The answer of an attempt under way begins, and ends. `ended` doesn't count it out.
     void answer_began(const std::string& address, std::uint64_t incarnation);
@@ -214,7 +215,7 @@
 
     // Another router says what it holds; it replaces what that router said before. What it holds at
     // an incarnation that is not the one known here counts once the host list names that one.
-    void told(const std::string& router, std::vector<endpoint_load> loads, instant now);
+    void peer_reported(const std::string& router, std::vector<endpoint_load> loads, instant now);
 
     // What this router holds, for the others.
     [[nodiscard]] std::vector<endpoint_load> own_loads() const;
@@ -238,11 +239,11 @@
 
     // Whether the endpoint that packed requests go to bears one more. Others' requests count as in
     // `writing_per_slot`.
-    [[nodiscard]] bool has_packed_room(const placement& wanted, std::size_t routers,
-                                       instant now) const;
+    [[nodiscard]] bool has_concentrated_room(const placement& wanted, std::size_t routers,
+                                             instant now) const;
 
     // Requests of all routers at the endpoint that packed ones go to; zero where there is none.
-    [[nodiscard]] double packed_requests(const std::string& version, instant now) const;
+    [[nodiscard]] double concentrated_requests(const std::string& version, instant now) const;
 
     // Whether there is any endpoint that is not leaving, though it may be full or ejected.
     [[nodiscard]] bool serves(const placement& wanted, instant now) const;
--- a/decision/include/pearhaven/decision/rollout_evidence.hpp
+++ b/decision/include/pearhaven/decision/rollout_evidence.hpp
@@ -76,7 +76,7 @@
 // Page's cumulative sum over the same steps, for a version that has been good and may turn bad at
 // any time: its good past does not outweigh bad ends now, since the sum never falls below zero.
 // It has no end, so its threshold is high: a good version trips it less than once in 10^9 runs.
-class version_watch {
+class cusum_test {
 public:
     void on_end(const sequential_test& test, bool good);
     [[nodiscard]] bool is_tripped() const;
--- a/decision/include/pearhaven/decision/rollout_exposure.hpp
+++ b/decision/include/pearhaven/decision/rollout_exposure.hpp
@@ -15,13 +15,13 @@
 namespace pearhaven::decision {
 
 // Callers that the whole fleet may have sent to the new version by this step, from the start on.
-[[nodiscard]] std::uint64_t granted_by(const rollout& plan, std::uint32_t step);
+[[nodiscard]] std::uint64_t granted_callers(const rollout& plan, std::uint32_t step);
 
 // One router's part when `callers` are divided among `size` routers; the parts add up to `callers`.
 [[nodiscard]] std::uint64_t share_of(std::uint64_t callers, std::size_t rank, std::size_t size);
 
 // What one request has to do with roll-outs already.
-struct rollout_note {
+struct rollout_context {
     std::string exposed_by;           // roll-out that counts it among its callers; may be empty
     std::vector<std::string> lost_on; // new versions that failed it
     std::string ran_on;               // version of its last run; empty before the first
@@ -66,7 +66,7 @@
     // The version for a request. Roll-outs decide only for those that ask for a model and are bound
     // to no session, and only among the versions that the team may use.
     [[nodiscard]] rollout_choice choose(const version_question& question,
-                                        const rollout_note& note) const;
+                                        const rollout_context& note) const;
 
     // One more caller is sent to the roll-out's new version.
     void spend(const std::string& name);
@@ -81,16 +81,16 @@
     void on_speed(const std::string& version, bool slow);
 
     // Another router's evidence has tripped this attempt at rolling the version out.
-    void on_trip_told(const std::string& version, std::uint64_t run);
+    void on_peer_trip(const std::string& version, std::uint64_t run);
 
     // Whether the version is the new one of a roll-out.
     [[nodiscard]] bool watches(const std::string& version) const;
 
     // Whether a roll-out has moved all traffic to the version.
-    [[nodiscard]] bool is_whole(const std::string& version) const;
+    [[nodiscard]] bool is_fully_rolled_out(const std::string& version) const;
 
     // Whether one endpoint of the version is being filled.
-    [[nodiscard]] bool is_filled(const std::string& version) const;
+    [[nodiscard]] bool is_filling_endpoint(const std::string& version) const;
 
     // Versions that get no new work here, by this router's evidence or by that of another.
     [[nodiscard]] std::set<std::string> tripped() const;
@@ -104,15 +104,15 @@
         run_counts seen;
         run_counts speed;
         load_counts under_load{};
-        version_watch watch;
+        cusum_test watch;
         bool tripped_here = false;
     };
 
     void take_up(tracked& known, const rollout& plan, std::uint64_t before);
     [[nodiscard]] bool is_tripped(const tracked& known) const;
-    [[nodiscard]] bool may_move(const tracked& known, const rollout_note& note,
+    [[nodiscard]] bool may_move(const tracked& known, const rollout_context& note,
                                 const version_question& question) const;
-    [[nodiscard]] const tracked* find_move(const std::string& from, const rollout_note& note,
+    [[nodiscard]] const tracked* find_move(const std::string& from, const rollout_context& note,
                                            const version_question& question) const;
     void test(tracked& known, bool good) const;
 
--- a/decision/include/pearhaven/decision/rollout_judge.hpp
+++ b/decision/include/pearhaven/decision/rollout_judge.hpp
@@ -12,7 +12,7 @@
 namespace pearhaven::decision {
 
 // What the fleet has told of one attempt at a roll-out.
-struct rollout_sight {
+struct rollout_fleet_evidence {
     run_counts seen;
     std::uint64_t left = 0; // callers that live routers may yet send to the new version
     bool tripped = false;   // some router's own evidence has tripped it
@@ -38,7 +38,8 @@
 // until the test decides, the steps beyond the last each grant the last number of callers again.
 class rollout_judge {
 public:
-    [[nodiscard]] rollout_move judge(const rollout& plan, const rollout_sight& sight, instant now);
+    [[nodiscard]] rollout_move judge(const rollout& plan, const rollout_fleet_evidence& sight,
+                                     instant now);
 
     // The duty is lost: another goes on.
     void forget() { this->steps.clear(); }
--- a/decision/include/pearhaven/decision/size_choice.hpp
+++ b/decision/include/pearhaven/decision/size_choice.hpp
@@ -14,7 +14,7 @@
     bool tries_smallest = true; // false: the largest model answers all
 
     // Opinion of its own answer, 0 to 100, from which a smaller model's answer is delivered.
-    double least_confidence = 50.0;
+    double min_confidence = 50.0;
 
     // Taken off it for each step of priority below the most urgent: a dearer answer is worth more
     // of the large models' time.
--- a/decision/include/pearhaven/decision/traffic_route.hpp
+++ b/decision/include/pearhaven/decision/traffic_route.hpp
@@ -54,7 +54,7 @@
     duration timeout{};                   // longest wait that the operator wants; zero: no bound
     duration objective{};                 // until the answer, or a stream's first piece
     duration longest_pause{};             // between two pieces of a stream
-    bool is_open = false;                 // needs no key
+    bool is_public = false;               // needs no key
     std::vector<std::string> model_sizes; // smallest first; empty: the request names its model
 
     friend bool operator==(const traffic_route&, const traffic_route&) = default;
--- a/decision/src/dispatcher.cpp
+++ b/decision/src/dispatcher.cpp
@@ -56,9 +56,9 @@
     this->dispatch(now);
 }
 
-std::vector<ended_life> dispatcher::on_host_changes(const host_changes& changes, instant now)
+std::vector<ended_incarnation> dispatcher::on_host_changes(const host_changes& changes, instant now)
 {
-    std::vector<ended_life> ended;
+    std::vector<ended_incarnation> ended;
     for (const auto& host : changes.present) {
         const auto replaced = this->table.set_host(host, now);
         ended.insert(ended.end(), replaced.begin(), replaced.end());
@@ -85,7 +85,7 @@
 void dispatcher::on_loads_told(const std::string& router, std::vector<endpoint_load> loads,
                                instant now)
 {
-    this->table.told(router, std::move(loads), now);
+    this->table.peer_reported(router, std::move(loads), now);
 }
 
 void dispatcher::on_endpoint_leaving(const std::string& address, std::uint64_t incarnation,
@@ -100,9 +100,9 @@
     this->suspects.learn(fingerprint, standing, now);
 }
 
-void dispatcher::on_trip_told(const std::string& version, std::uint64_t run, instant now)
+void dispatcher::on_peer_trip(const std::string& version, std::uint64_t run, instant now)
 {
-    this->exposure.on_trip_told(version, run);
+    this->exposure.on_peer_trip(version, run);
     this->dispatch(now);
 }
 
@@ -170,7 +170,7 @@
     wanted.parts = this->parts_of(state);
     // Models share no cache, and so need not share endpoints.
     wanted.prefix_hash = wanted.parts.empty() ? state.what.prefix_hash : wanted.parts.back().key;
-    wanted.packed = this->helps_to_fill(state, target);
+    wanted.concentrated = this->helps_to_fill(state, target);
     if (now < state.avoid_until) {
         this->add_avoided(state, wanted);
     }
@@ -199,7 +199,7 @@
 {
     std::set<std::string> filled;
     for (const auto& [ticket, state] : this->requests) {
-        if (state.packed && !state.address.empty()) {
+        if (state.concentrated && !state.address.empty()) {
             filled.insert(state.address);
         }
     }
@@ -220,7 +220,7 @@
 bool dispatcher::helps_to_fill(const request_state& state, const std::string& version) const
 {
     return state.rollouts.fills_endpoint && !state.was_crowded_out &&
-           this->exposure.is_filled(version);
+           this->exposure.is_filling_endpoint(version);
 }
 
 // Two suspects on one endpoint: if it crashes again, nobody can tell which of them did it, and the
@@ -260,13 +260,14 @@
         exposed_by = std::move(chosen.exposed_by);
     }
     auto wanted = this->place(state, target, now);
-    wanted.packed = wanted.packed && this->table.has_packed_room(wanted, this->fleet_size, now);
+    wanted.concentrated =
+        wanted.concentrated && this->table.has_concentrated_room(wanted, this->fleet_size, now);
     auto address = this->table.choose(wanted, now, this->next_random());
     if (!address) {
         return std::nullopt;
     }
     return chosen_start{std::move(*address), std::move(target), std::move(exposed_by),
-                        wanted.packed};
+                        wanted.concentrated};
 }
 
 // The operator may remove a team while its requests run, and each of them may come back to the
@@ -339,14 +340,14 @@
     state.version = where.version;
     state.rollouts.ran_on = where.version;
     state.sent_at = now;
-    state.packed = where.packed;
-    if (state.packed) {
+    state.concentrated = where.concentrated;
+    if (state.concentrated) {
         const double load = this->table.writing_per_slot(where.address, this->fleet_size);
         state.load_level = load_level(load);
     }
     state.writing = false;
     state.own_size = state.size;
-    if (state.packed && request.sizes > 0) {
+    if (state.concentrated && request.sizes > 0) {
         // The largest model's answer takes longest, and adds up with the others'.
         state.size = request.sizes - 1;
     }
@@ -381,7 +382,7 @@
 {
     const auto found = this->requests.find(ticket);
     if (found != this->requests.end() && found->second.attempt == attempt &&
-        !found->second.address.empty() && !found->second.packed) {
+        !found->second.address.empty() && !found->second.concentrated) {
         this->weigh_speed(found->second, this->paces, between_pieces);
     }
 }
--- a/decision/src/dispatcher_admission.cpp
+++ b/decision/src/dispatcher_admission.cpp
@@ -125,7 +125,7 @@
     // A new version that no endpoint serves yet must not cost its first callers their answers.
     // Where there is no other one, it is chosen again, and its callers are refused.
     while (this->exposure.watches(chosen.answer.version) &&
-           !this->exposure.is_whole(chosen.answer.version) &&
+           !this->exposure.is_fully_rolled_out(chosen.answer.version) &&
            !contains(note.lost_on, chosen.answer.version) &&
            !this->table.serves(this->place(state, chosen.answer.version, now), now)) {
         note.lost_on.push_back(chosen.answer.version);
--- a/decision/src/dispatcher_attempts.cpp
+++ b/decision/src/dispatcher_attempts.cpp
@@ -102,7 +102,7 @@
     state.avoid_until = std::max(state.avoid_until, now + refusal_avoidance);
     state.address.clear();
     ++state.refusals;
-    if (state.packed) {
+    if (state.concentrated) {
         state.was_crowded_out = true;
         state.size = state.own_size;
     }
@@ -169,7 +169,7 @@
     constexpr double microseconds_of_work = 1000.0; // work is counted in milliseconds there
     const double others = this->table.work_at(state.address, this->fleet_size);
     const auto silence = static_cast<double>((now - state.sent_at).count());
-    return state.packed && others > 0.0 &&
+    return state.concentrated && others > 0.0 &&
            others * microseconds_of_work >= silence * explained_silence;
 }
 
@@ -184,7 +184,7 @@
     // Silence under the load of all traffic is a full queue as likely as a bad version.
     const bool busy =
         end.result == attempt_result::went_silent &&
-        (this->exposure.is_whole(state.version) || this->waits_for_others(state, now));
+        (this->exposure.is_fully_rolled_out(state.version) || this->waits_for_others(state, now));
     // Where a run ends with its connection, a crash of the endpoint ends many at once.
     const bool crashed = end.result == attempt_result::failed && !end.answered_error &&
                          state.what.on_loss != continuation::same_run;
@@ -310,7 +310,7 @@
 {
     const double done = std::min(state.held_work, state.reading);
     state.held_work -= done;
-    this->table.lightened(state.address, done, state.incarnation);
+    this->table.work_completed(state.address, done, state.incarnation);
     this->table.answer_began(state.address, state.incarnation);
     state.writing = true;
     this->note_loaded_run(state, true);
@@ -318,7 +318,7 @@
 
 void dispatcher::note_loaded_run(const request_state& state, bool good)
 {
-    if (state.packed) {
+    if (state.concentrated) {
         this->exposure.on_loaded_run(state.version, state.load_level, good);
     }
 }
--- a/decision/src/endpoint_choice.cpp
+++ b/decision/src/endpoint_choice.cpp
@@ -123,9 +123,9 @@
 
 const endpoint* endpoint_choice::choose(const route& from, std::uint64_t random)
 {
-    const endpoint* packed = this->wanted.packed ? this->packed_on(from) : nullptr;
-    if (packed != nullptr) {
-        return packed;
+    const endpoint* concentrated = this->wanted.concentrated ? this->packed_on(from) : nullptr;
+    if (concentrated != nullptr) {
+        return concentrated;
     }
     const auto subset = subset_of(from, this->wanted.avoid, this->now, this->settings);
     if (this->wanted.kind == work_class::reading) {
@@ -137,7 +137,7 @@
         const bool is_local = where->host.zone == this->settings.zone;
         (is_local ? local : remote).push_back(where);
     }
-    if (this->settings.weighs_all) {
+    if (this->settings.compares_all) {
         return this->cheapest(subset, random);
     }
     if (const endpoint* warm = this->choose_warm(subset)) {
@@ -192,9 +192,9 @@
 
 double endpoint_choice::reading_cost(const endpoint& where, double cold_work) const
 {
-    const double harm = this->settings.reading_harm * this->requests_at(where);
+    const double harm = this->settings.reading_interference * this->requests_at(where);
     const double reading = this->load_of_work(this->wanted.reading + cold_work, where);
-    return harm * reading + this->settings.cold_price * this->load_of_work(cold_work, where);
+    return harm * reading + this->settings.cold_read_cost * this->load_of_work(cold_work, where);
 }
 
 bool endpoint_choice::has_room(const endpoint& where) const
--- a/decision/src/endpoint_directory.cpp
+++ b/decision/src/endpoint_directory.cpp
@@ -342,7 +342,8 @@
 // A listed host that was refused for what is forgotten here is taken.
 void endpoint_directory::forget_old_addresses(instant now, host_news& news)
 {
-    while (!this->kept.empty() && now - this->kept.begin()->made > this->settings.leaving_memory) {
+    while (!this->kept.empty() &&
+           now - this->kept.begin()->made > this->settings.departed_retention) {
         const std::string address = this->kept.begin()->address;
         this->kept.erase(this->kept.begin());
         this->memories.erase(address);
--- a/decision/src/endpoint_directory.hpp
+++ b/decision/src/endpoint_directory.hpp
@@ -24,7 +24,7 @@
 
 // What followed from a change of the host list.
 struct host_news {
-    std::vector<ended_life> ended;
+    std::vector<ended_incarnation> ended;
     std::uint32_t outstanding_lost = 0; // requests that ran in those lives and count no longer
     std::uint32_t readings_lost = 0;    // of them
 };
--- a/decision/src/endpoint_table.cpp
+++ b/decision/src/endpoint_table.cpp
@@ -46,7 +46,7 @@
 public:
     explicit state(endpoint_table_settings chosen) : settings(std::move(chosen)) {}
 
-    std::vector<ended_life> take(host_news news);
+    std::vector<ended_incarnation> take(host_news news);
     void started(endpoint& where, work_class kind, double work, instant now);
     void ended(endpoint& where, work_class kind, double work, attempt_result result,
                duration first_token, instant now);
@@ -89,7 +89,7 @@
 };
 
 // What ran at processes that were replaced is held no longer.
-std::vector<ended_life> endpoint_table::state::take(host_news news)
+std::vector<ended_incarnation> endpoint_table::state::take(host_news news)
 {
     this->own.outstanding -= news.outstanding_lost;
     this->own.readings -= news.readings_lost;
@@ -118,8 +118,8 @@
 double endpoint_table::state::unheard_factor_when_filling(std::size_t routers) const
 {
     const auto peers = std::max<std::size_t>(routers, 1) - 1;
-    const auto usual = static_cast<double>(std::clamp<std::size_t>(peers, 1, told_usually));
-    const auto filling = static_cast<double>(std::min(peers, told_when_filling));
+    const auto usual = static_cast<double>(std::clamp<std::size_t>(peers, 1, load_fanout));
+    const auto filling = static_cast<double>(std::min(peers, load_fanout_when_filling));
     const double reach = std::min(1.0, static_cast<double>(this->others.routers()) / usual);
     return static_cast<double>(peers + 1) / (1.0 + reach * filling);
 }
@@ -238,7 +238,7 @@
                                                          std::uint64_t random)
 {
     const route& from = this->directory.route_for(wanted.version_or_service, wanted.is_service);
-    this->others.expire(now, this->settings.told_lifetime);
+    this->others.expire(now, this->settings.peer_load_lifetime);
     this->prompts.expire(now);
     endpoint_choice choice(this->settings, wanted, this->own, this->others, this->prompts, now);
     const endpoint* const chosen = choice.choose(from, random);
@@ -272,18 +272,18 @@
     this->inner->directory.configure(current);
 }
 
-std::vector<ended_life> endpoint_table::set_hosts(const std::vector<endpoint_host>& hosts,
-                                                  instant now)
+std::vector<ended_incarnation> endpoint_table::set_hosts(const std::vector<endpoint_host>& hosts,
+                                                         instant now)
 {
     return this->inner->take(this->inner->directory.set_hosts(hosts, now));
 }
 
-std::vector<ended_life> endpoint_table::set_host(const endpoint_host& host, instant now)
+std::vector<ended_incarnation> endpoint_table::set_host(const endpoint_host& host, instant now)
 {
     return this->inner->take(this->inner->directory.set_host(host, now));
 }
 
-std::vector<ended_life> endpoint_table::drop_host(const std::string& address, instant now)
+std::vector<ended_incarnation> endpoint_table::drop_host(const std::string& address, instant now)
 {
     return this->inner->take(this->inner->directory.drop_host(address, now));
 }
@@ -318,8 +318,8 @@
     }
 }
 
-void endpoint_table::lightened(const std::string& address, double work,
-                               std::optional<std::uint64_t> incarnation)
+void endpoint_table::work_completed(const std::string& address, double work,
+                                    std::optional<std::uint64_t> incarnation)
 {
     endpoint* where = this->inner->directory.find(address);
     if (is_at(where, incarnation)) {
@@ -368,7 +368,8 @@
            std::any_of(known.remote.begin(), known.remote.end(), stays);
 }
 
-void endpoint_table::told(const std::string& router, std::vector<endpoint_load> loads, instant now)
+void endpoint_table::peer_reported(const std::string& router, std::vector<endpoint_load> loads,
+                                   instant now)
 {
     this->inner->note_told(loads, now);
     this->inner->others.on_told(router, std::move(loads), now);
@@ -402,22 +403,22 @@
     return known * this->inner->unheard_factor_when_filling(routers) / where->capacity();
 }
 
-bool endpoint_table::has_packed_room(const placement& wanted, std::size_t routers,
-                                     instant now) const
+bool endpoint_table::has_concentrated_room(const placement& wanted, std::size_t routers,
+                                           instant now) const
 {
     const endpoint* where = this->inner->packed_on(wanted, now);
     if (where == nullptr) {
         return false;
     }
     return this->inner->requests_at(*where) * this->inner->unheard_factor_when_filling(routers) <
-           this->inner->settings.packed_per_slot * where->capacity();
+           this->inner->settings.concentrated_per_slot * where->capacity();
 }
 
-double endpoint_table::packed_requests(const std::string& version, instant now) const
+double endpoint_table::concentrated_requests(const std::string& version, instant now) const
 {
     placement wanted;
     wanted.version_or_service = version;
-    wanted.packed = true;
+    wanted.concentrated = true;
     const endpoint* where = this->inner->packed_on(wanted, now);
     return where == nullptr ? 0.0 : this->inner->requests_at(*where);
 }
--- a/decision/src/rollout_evidence.cpp
+++ b/decision/src/rollout_evidence.cpp
@@ -58,12 +58,12 @@
     return ratio <= this->lower ? test_verdict::accepted : test_verdict::open;
 }
 
-void version_watch::on_end(const sequential_test& test, bool good)
+void cusum_test::on_end(const sequential_test& test, bool good)
 {
     this->sum = std::max(0.0, this->sum + test.step_of(good));
 }
 
-bool version_watch::is_tripped() const
+bool cusum_test::is_tripped() const
 {
     return this->sum >= std::log(runs_between_alarms);
 }
--- a/decision/src/rollout_exposure.cpp
+++ b/decision/src/rollout_exposure.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-std::uint64_t granted_by(const rollout& plan, std::uint32_t step)
+std::uint64_t granted_callers(const rollout& plan, std::uint32_t step)
 {
     if (plan.step_callers.empty()) {
         return 0;
@@ -78,7 +78,7 @@
                 known.plan.state == plan.state && known.plan.fills_endpoint == plan.fills_endpoint;
             known.seen = same_part ? known.seen : run_counts();
             known.speed = same_part ? known.speed : run_counts();
-            this->take_up(known, plan, granted_by(known.plan, known.plan.step));
+            this->take_up(known, plan, granted_callers(known.plan, known.plan.step));
         } else if (this->has_configuration) {
             this->take_up(known, plan, 0);
         }
@@ -92,7 +92,7 @@
 // and knows few of the others yet would, by its own count alone, take a part that is too large.
 void rollout_exposure::take_up(tracked& known, const rollout& plan, std::uint64_t before)
 {
-    const auto granted = granted_by(plan, plan.step);
+    const auto granted = granted_callers(plan, plan.step);
     if (plan.run == 0 || granted <= before) {
         return;
     }
@@ -106,7 +106,7 @@
     return known.tripped_here || (told != this->told_trips.end() && told->second == known.plan.run);
 }
 
-bool rollout_exposure::may_move(const tracked& known, const rollout_note& note,
+bool rollout_exposure::may_move(const tracked& known, const rollout_context& note,
                                 const version_question& question) const
 {
     const auto session_key = question.session_key;
@@ -142,7 +142,7 @@
 }
 
 const rollout_exposure::tracked* rollout_exposure::find_move(const std::string& from,
-                                                             const rollout_note& note,
+                                                             const rollout_context& note,
                                                              const version_question& question) const
 {
     for (const auto& [name, known] : this->rollouts) {
@@ -154,7 +154,7 @@
 }
 
 rollout_choice rollout_exposure::choose(const version_question& question,
-                                        const rollout_note& note) const
+                                        const rollout_context& note) const
 {
     if (this->rollouts.empty() || question.bound || !is_model(*question.current, question.asked)) {
         return {choose_version(question), {}};
@@ -235,7 +235,7 @@
     known.tripped_here = known.tripped_here || rejected || known.watch.is_tripped();
 }
 
-void rollout_exposure::on_trip_told(const std::string& version, std::uint64_t run)
+void rollout_exposure::on_peer_trip(const std::string& version, std::uint64_t run)
 {
     auto& told = this->told_trips[version];
     told = std::max(told, run);
@@ -247,7 +247,7 @@
                        [&version](const auto& named) { return named.second.plan.to == version; });
 }
 
-bool rollout_exposure::is_whole(const std::string& version) const
+bool rollout_exposure::is_fully_rolled_out(const std::string& version) const
 {
     return std::any_of(this->rollouts.begin(), this->rollouts.end(), [&version](const auto& named) {
         const auto& plan = named.second.plan;
@@ -255,7 +255,7 @@
     });
 }
 
-bool rollout_exposure::is_filled(const std::string& version) const
+bool rollout_exposure::is_filling_endpoint(const std::string& version) const
 {
     return std::any_of(this->rollouts.begin(), this->rollouts.end(), [&version](const auto& named) {
         const auto& plan = named.second.plan;
--- a/decision/src/rollout_judge.cpp
+++ b/decision/src/rollout_judge.cpp
@@ -14,7 +14,7 @@
 // What was told of a step must have had time to come in before it counts as lost.
 constexpr duration least_before_renewal = std::chrono::seconds(10);
 
-test_verdict verdict_on(const rollout& plan, const rollout_sight& sight)
+test_verdict verdict_on(const rollout& plan, const rollout_fleet_evidence& sight)
 {
     error_guard guard;
     guard.base_rate = plan.base_error_rate;
@@ -37,7 +37,8 @@
     return now - found->second.since;
 }
 
-rollout_move rollout_judge::judge(const rollout& plan, const rollout_sight& sight, instant now)
+rollout_move rollout_judge::judge(const rollout& plan, const rollout_fleet_evidence& sight,
+                                  instant now)
 {
     const auto on_step = this->time_on_step(plan, now);
     if (plan.state == rollout_state::rolled_back) {
@@ -62,7 +63,7 @@
     if (accepted && is_last) {
         return rollout_move::finish;
     }
-    if (accepted || sight.seen.total() * 2 >= granted_by(plan, plan.step)) {
+    if (accepted || sight.seen.total() * 2 >= granted_callers(plan, plan.step)) {
         return rollout_move::advance;
     }
     const bool is_lost = sight.left == 0 && on_step >= least_before_renewal;
--- a/decision/src/size_choice.cpp
+++ b/decision/src/size_choice.cpp
@@ -12,7 +12,7 @@
 
 std::uint32_t next_size(const size_question& question, const size_choice_settings& settings)
 {
-    const double least = settings.least_confidence - settings.confidence_step * question.priority;
+    const double least = settings.min_confidence - settings.confidence_step * question.priority;
     if (question.size + 1 >= question.sizes || question.confidence >= least) {
         return question.size;
     }
--- a/decision/test/endpoint_changes_test.cpp
+++ b/decision/test/endpoint_changes_test.cpp
@@ -61,7 +61,7 @@
         .build();
 }
 
-using lives = std::vector<ended_life>;
+using lives = std::vector<ended_incarnation>;
 
 // A table whose endpoints come and go one by one.
 struct changing_table {
@@ -228,7 +228,7 @@
     chosen.zone = "osu";
     chosen.subset_size = *rc::gen::element<std::size_t>(2, 48);
     chosen.lists_in_order = *rc::gen::arbitrary<bool>();
-    chosen.weighs_all = *rc::gen::arbitrary<bool>();
+    chosen.compares_all = *rc::gen::arbitrary<bool>();
     return chosen;
 }
 
--- a/decision/test/endpoint_table_test.cpp
+++ b/decision/test/endpoint_table_test.cpp
@@ -485,7 +485,7 @@
     known.start("e0");
     known.restart("e0", 2);
     known.start("e0");
-    known.table.lightened("e0", 60.0, 1);
+    known.table.work_completed("e0", 60.0, 1);
     DOUBLES_EQUAL(100.0, known.table.own_loads()[0].work, 0.001);
 }
 
@@ -521,9 +521,9 @@
 {
     osu_table known(2, 16);
     known.restart("e0", 2);
-    known.table.told("lagging", {{"e0", 16, 9000.0, 1}}, known.now);
+    known.table.peer_reported("lagging", {{"e0", 16, 9000.0, 1}}, known.now);
     CHECK_EQUAL(2U, known.chosen(a_lookup).size());
-    known.table.told("another", {{"e0", 16, 9000.0, 2}}, known.now);
+    known.table.peer_reported("another", {{"e0", 16, 9000.0, 2}}, known.now);
     CHECK_TRUE((names{"e1"}) == known.chosen(a_lookup));
 }
 
@@ -532,7 +532,7 @@
 TEST(endpoint_table_test, what_others_hold_at_a_life_not_yet_listed_counts_once_it_is)
 {
     osu_table known(2, 16);
-    known.table.told("ahead", {{"e0", 16, 9000.0, 2}}, known.now);
+    known.table.peer_reported("ahead", {{"e0", 16, 9000.0, 2}}, known.now);
     CHECK_EQUAL(2U, known.chosen(a_lookup).size());
     known.restart("e0", 2);
     CHECK_TRUE((names{"e1"}) == known.chosen(a_lookup));
@@ -885,9 +885,9 @@
 TEST(endpoint_table_test, what_other_routers_hold_counts_like_own_work)
 {
     osu_table known(2, 16);
-    known.table.told("other", {{"e0", 6, 600.0, 1}}, known.now);
+    known.table.peer_reported("other", {{"e0", 6, 600.0, 1}}, known.now);
     CHECK_TRUE((names{"e1"}) == known.chosen(a_lookup));
-    known.table.told("other", {{"e1", 6, 600.0, 1}}, known.now);
+    known.table.peer_reported("other", {{"e1", 6, 600.0, 1}}, known.now);
     CHECK_TRUE((names{"e0"}) == known.chosen(a_lookup));
 }
 
@@ -895,7 +895,7 @@
 TEST(endpoint_table_test, what_a_silent_router_held_counts_no_longer)
 {
     osu_table known(2, 16);
-    known.table.told("other", {{"e0", 6, 600.0, 1}}, known.now);
+    known.table.peer_reported("other", {{"e0", 6, 600.0, 1}}, known.now);
     known.now += std::chrono::seconds(2);
     CHECK_EQUAL(2U, known.chosen(a_lookup).size());
 }
@@ -914,16 +914,16 @@
 
 // A table that weighs all: e0 and e1 in the router's zone osu, far in another one.
 struct weighing_table : osu_table {
-    weighing_table() : osu_table(2, 64, weighs_all())
+    weighing_table() : osu_table(2, 64, compares_all())
     {
         this->hosts.push_back(host_at("far", "tema"));
         this->table.set_hosts(this->hosts, this->now);
     }
 
-    static endpoint_table_settings weighs_all()
+    static endpoint_table_settings compares_all()
     {
         endpoint_table_settings settings;
-        settings.weighs_all = true;
+        settings.compares_all = true;
         settings.typical_work = 14.0;
         settings.zone_bias = 0.5;
         return settings;
@@ -931,9 +931,9 @@
 
     void tell(std::uint32_t at_e0, std::uint32_t at_e1, std::uint32_t at_far)
     {
-        this->table.told("other",
-                         {{"e0", at_e0, 0.0, 1}, {"e1", at_e1, 0.0, 1}, {"far", at_far, 0.0, 1}},
-                         this->now);
+        this->table.peer_reported(
+            "other", {{"e0", at_e0, 0.0, 1}, {"e1", at_e1, 0.0, 1}, {"far", at_far, 0.0, 1}},
+            this->now);
     }
 };
 
@@ -977,14 +977,15 @@
     known.table.started("e1", work_class::lookup, 0.0, shared_prompt().parts, known.now);
     known.tell(0, 20, 0);
     CHECK_TRUE((names{"e1"}) == known.chosen(shared_prompt()));
-    known.table.told("other", {{"e0", 0, 0.0, 1}, {"e1", 20, 3 * 14.0 * 64, 1}}, known.now);
+    known.table.peer_reported("other", {{"e0", 0, 0.0, 1}, {"e1", 20, 3 * 14.0 * 64, 1}},
+                              known.now);
     CHECK_FALSE((names{"e1"}) == known.chosen(shared_prompt()));
 }
 
 TEST(endpoint_table_test, what_another_router_holds_there_has_been_read_there)
 {
     weighing_table known;
-    known.table.told("other", {{"e0", 1, 0.0, 1, {11, 12}}, {"e1", 1, 0.0, 1}}, known.now);
+    known.table.peer_reported("other", {{"e0", 1, 0.0, 1, {11, 12}}, {"e1", 1, 0.0, 1}}, known.now);
     CHECK_TRUE((names{"e0"}) == known.chosen(shared_prompt()));
     DOUBLES_EQUAL(0.0, known.table.cold_work_at("e0", shared_prompt().parts, known.now), 0.001);
     DOUBLES_EQUAL(672.0, known.table.cold_work_at("e1", shared_prompt().parts, known.now), 0.001);
@@ -994,7 +995,8 @@
 TEST(endpoint_table_test, a_part_behind_one_that_is_missing_is_read_again)
 {
     weighing_table known;
-    known.table.told("other", {{"e0", 1, 0.0, 1, {12}}, {"e1", 1, 0.0, 1, {11}}}, known.now);
+    known.table.peer_reported("other", {{"e0", 1, 0.0, 1, {12}}, {"e1", 1, 0.0, 1, {11}}},
+                              known.now);
     DOUBLES_EQUAL(672.0, known.table.cold_work_at("e0", shared_prompt().parts, known.now), 0.001);
     DOUBLES_EQUAL(448.0, known.table.cold_work_at("e1", shared_prompt().parts, known.now), 0.001);
 }
@@ -1006,7 +1008,7 @@
     known.hosts[0].incarnation = 2;
     known.table.set_hosts(known.hosts, known.now);
     DOUBLES_EQUAL(672.0, known.table.cold_work_at("e0", shared_prompt().parts, known.now), 0.001);
-    known.table.told("late", {{"e0", 1, 0.0, 1, {11, 12}}}, known.now);
+    known.table.peer_reported("late", {{"e0", 1, 0.0, 1, {11, 12}}}, known.now);
     DOUBLES_EQUAL(672.0, known.table.cold_work_at("e0", shared_prompt().parts, known.now), 0.001);
 }
 
@@ -1041,8 +1043,8 @@
 TEST(endpoint_table_test, where_all_are_weighed_a_long_prompt_keeps_away_from_many_answers)
 {
     weighing_table known;
-    known.table.told("other", {{"e0", 12, 0.0, 1}, {"e1", 1, 11 * 14.0, 1}, {"far", 64, 0.0, 1}},
-                     known.now);
+    known.table.peer_reported(
+        "other", {{"e0", 12, 0.0, 1}, {"e1", 1, 11 * 14.0, 1}, {"far", 64, 0.0, 1}}, known.now);
     placement prompt = a_lookup;
     prompt.reading = 500.0;
     CHECK_TRUE((names{"e1"}) == known.chosen(prompt));
@@ -1058,19 +1060,19 @@
     endpoint_table_settings seeded;
     seeded.router_seed = 77;
     osu_table two(8, 16, seeded);
-    placement packed = a_lookup;
-    packed.packed = true;
-    const auto first = one.choose(packed);
-    CHECK_TRUE((names{first}) == one.chosen(packed));
-    CHECK_EQUAL(first, two.choose(packed));
+    placement concentrated = a_lookup;
+    concentrated.concentrated = true;
+    const auto first = one.choose(concentrated);
+    CHECK_TRUE((names{first}) == one.chosen(concentrated));
+    CHECK_EQUAL(first, two.choose(concentrated));
     one.table.mark_leaving(first, 0, one.now);
     two.table.mark_leaving(first, 0, two.now);
-    const auto next = one.choose(packed);
+    const auto next = one.choose(concentrated);
     CHECK_FALSE(first == next);
-    CHECK_EQUAL(next, two.choose(packed));
+    CHECK_EQUAL(next, two.choose(concentrated));
     one.start_many(next, 3);
-    one.table.told("other", {{next, 4, 0.0, 1}}, one.now);
-    DOUBLES_EQUAL(7.0, one.table.packed_requests("reader-1", one.now), 0.001);
+    one.table.peer_reported("other", {{next, 4, 0.0, 1}}, one.now);
+    DOUBLES_EQUAL(7.0, one.table.concentrated_requests("reader-1", one.now), 0.001);
 }
 
 // Guards against requests that wait to be read, and answers of an earlier life, taken for load.
@@ -1078,7 +1080,7 @@
 {
     osu_table known(1, 16);
     known.start_many("e0", 4);
-    known.table.told("other", {{"e0", 8, 0.0, 1, {}, 3}}, known.now);
+    known.table.peer_reported("other", {{"e0", 8, 0.0, 1, {}, 3}}, known.now);
     DOUBLES_EQUAL(3.0 / 16.0, known.table.writing_per_slot("e0", 2), 0.001);
     known.table.answer_began("e0", 1);
     DOUBLES_EQUAL(4.0 / 16.0, known.table.writing_per_slot("e0", 2), 0.001);
@@ -1095,14 +1097,14 @@
 TEST(endpoint_table_test, packed_requests_stay_where_they_are_when_a_lost_endpoint_comes_back)
 {
     osu_table known(8, 16);
-    placement packed = a_lookup;
-    packed.packed = true;
-    const auto first = known.choose(packed);
+    placement concentrated = a_lookup;
+    concentrated.concentrated = true;
+    const auto first = known.choose(concentrated);
     known.table.drop_host(first, known.now);
-    const auto next = known.choose(packed);
+    const auto next = known.choose(concentrated);
     CHECK_FALSE(first == next);
     known.start_many(next, 1);
-    known.table.told("other", {{next, 5, 0.0, 1}}, known.now);
+    known.table.peer_reported("other", {{next, 5, 0.0, 1}}, known.now);
     known.restart(first, 2);
-    CHECK_EQUAL(next, known.choose(packed));
+    CHECK_EQUAL(next, known.choose(concentrated));
 }
--- a/decision/test/rollout_dispatch_test.cpp
+++ b/decision/test/rollout_dispatch_test.cpp
@@ -375,9 +375,9 @@
         router.on_pace(usual.ticket, usual.attempt, milliseconds(20));
     }
     router.on_configuration(make_configuration({true, "adjudicator", true}), now);
-    const auto packed = arrive_long();
-    CHECK_EQUAL(std::string("adjudicator-2"), packed.version);
-    router.on_pace(packed.ticket, packed.attempt, milliseconds(160));
+    const auto concentrated = arrive_long();
+    CHECK_EQUAL(std::string("adjudicator-2"), concentrated.version);
+    router.on_pace(concentrated.ticket, concentrated.attempt, milliseconds(160));
     LONGS_EQUAL(0, router.rollouts().at(0).speed.total());
 }
 
--- a/decision/test/rollout_evidence_test.cpp
+++ b/decision/test/rollout_evidence_test.cpp
@@ -93,7 +93,7 @@
 TEST(rollout_evidence_test, a_watch_trips_as_soon_after_a_long_good_time_as_without_one)
 {
     const auto errors_until_tripped = [this](int good) {
-        version_watch watch;
+        cusum_test watch;
         for (int i = 0; i < good; ++i) {
             watch.on_end(test, true);
         }
--- a/decision/test/rollout_exposure_test.cpp
+++ b/decision/test/rollout_exposure_test.cpp
@@ -45,7 +45,7 @@
     selector allowed = selector().require("model", {"adjudicator"});
     rollout_exposure exposure;
     configuration_ptr current;
-    rollout_note note;
+    rollout_context note;
     std::uint64_t session_key = 0;
 
     explicit router_model(std::size_t rank = 0, std::size_t size = 1)
@@ -140,7 +140,7 @@
                 routers[rank].see(make_plan(step));
                 met += routers[rank].send(*rc::gen::inRange<std::uint64_t>(0, 60), false);
             }
-            RC_ASSERT(met <= granted_by(make_plan(step), step));
+            RC_ASSERT(met <= granted_callers(make_plan(step), step));
         }
     });
     CHECK_TRUE(held);
@@ -229,7 +229,7 @@
 TEST(rollout_exposure_test, a_trip_that_another_router_tells_holds_for_that_attempt_only)
 {
     router_model router;
-    router.exposure.on_trip_told("adjudicator-2", 7);
+    router.exposure.on_peer_trip("adjudicator-2", 7);
     router.see(make_plan(0));
     LONGS_EQUAL(0, router.send(100));
     auto anew = make_plan(0);
@@ -297,11 +297,11 @@
     plan.step_callers = {0, 0, 0};
     plan.fills_endpoint = true;
     router.see(plan);
-    CHECK_TRUE(router.exposure.is_filled("adjudicator-2"));
+    CHECK_TRUE(router.exposure.is_filling_endpoint("adjudicator-2"));
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
     router.note.fills_endpoint = true;
     CHECK_EQUAL(std::string("adjudicator-2"), router.ask().answer.version);
-    router.exposure.on_trip_told("adjudicator-2", 7);
+    router.exposure.on_peer_trip("adjudicator-2", 7);
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
 }
 
--- a/decision/test/rollout_judge_test.cpp
+++ b/decision/test/rollout_judge_test.cpp
@@ -19,7 +19,7 @@
     return plan;
 }
 
-rollout_sight sight(std::uint64_t good, std::uint64_t bad, std::uint64_t left = 0)
+rollout_fleet_evidence sight(std::uint64_t good, std::uint64_t bad, std::uint64_t left = 0)
 {
     return {{good, bad}, left, false};
 }
@@ -32,7 +32,7 @@
     rollout plan = make_plan();
     instant start{};
 
-    bool gives(rollout_move expected, const rollout_sight& seen, int second)
+    bool gives(rollout_move expected, const rollout_fleet_evidence& seen, int second)
     {
         return this->judge.judge(this->plan, seen, this->start + seconds(second)) == expected;
     }
--- a/decision/test/size_choice_test.cpp
+++ b/decision/test/size_choice_test.cpp
@@ -21,7 +21,7 @@
 TEST(size_choice, an_answer_that_its_model_doubts_goes_to_the_largest)
 {
     CHECK_EQUAL(2U, next_size(this->question, this->settings));
-    this->question.confidence = this->settings.least_confidence;
+    this->question.confidence = this->settings.min_confidence;
     CHECK_EQUAL(0U, next_size(this->question, this->settings));
 }
 
--- a/router/src/rollout_keeper.cpp
+++ b/router/src/rollout_keeper.cpp
@@ -159,12 +159,13 @@
     }
 }
 
-decision::rollout_sight rollout_keeper::sight_of(const rollout& plan, const rollout_scene& scene)
+decision::rollout_fleet_evidence rollout_keeper::sight_of(const rollout& plan,
+                                                          const rollout_scene& scene)
 {
     const auto subject = [&plan](const char* what) {
         return rollout_subject(plan.name, plan.run, what);
     };
-    decision::rollout_sight sight;
+    decision::rollout_fleet_evidence sight;
     sight.seen.good = sum_of(scene, subject(good_ends), false);
     sight.seen.bad = sum_of(scene, subject(bad_ends), false);
     sight.left = sum_of(scene, subject(callers_left), true);
--- a/router/src/rollout_keeper.hpp
+++ b/router/src/rollout_keeper.hpp
@@ -59,8 +59,8 @@
     };
 
     void look(const rollout_scene& scene, decision::instant now);
-    [[nodiscard]] static decision::rollout_sight sight_of(const decision::rollout& plan,
-                                                          const rollout_scene& scene);
+    [[nodiscard]] static decision::rollout_fleet_evidence sight_of(const decision::rollout& plan,
+                                                                   const rollout_scene& scene);
     void move(const decision::rollout& plan, decision::rollout_move next,
               const rollout_scene& scene, decision::instant now);
     void collect();
--- a/router/src/routing_duty.cpp
+++ b/router/src/routing_duty.cpp
@@ -174,7 +174,7 @@
 
 void routing_duty::handle(trip_told& event)
 {
-    this->dispatcher.on_trip_told(event.version, event.run, now());
+    this->dispatcher.on_peer_trip(event.version, event.run, now());
 }
 
 void routing_duty::handle(drain_begun& begun)
