--- a/decision/src/endpoint_choice.hpp
+++ b/decision/src/endpoint_choice.hpp
@@ -2,8 +2,8 @@
 #define PEARHAVEN_DECISION_ENDPOINT_CHOICE_HPP
 
 #include "endpoint_directory.hpp"
+#include "peer_loads.hpp"
 #include "prompt_map.hpp"
-#include "told_loads.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -35,7 +35,7 @@
 public:
     // All that is passed by reference must outlive the choice.
     endpoint_choice(const endpoint_table_settings& chosen, const placement& request,
-                    const own_load& load, const told_loads& told, const prompt_map& read,
+                    const own_load& load, const peer_loads& told, const prompt_map& read,
                     instant at)
         : settings(chosen), wanted(request), own(load), others(told), prompts(read), now(at)
     {}
@@ -74,7 +74,7 @@
     const endpoint_table_settings& settings;
     const placement& wanted;
     const own_load& own;
-    const told_loads& others;
+    const peer_loads& others;
     const prompt_map& prompts;
     instant now;
     double own_part = 1.0; // of all work at the endpoints
--- a/decision/src/endpoint_table.cpp
+++ b/decision/src/endpoint_table.cpp
@@ -2,7 +2,7 @@
 
 #include "endpoint_choice.hpp"
 #include "endpoint_directory.hpp"
-#include "told_loads.hpp"
+#include "peer_loads.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -58,7 +58,7 @@
 
     const endpoint_table_settings settings;
     endpoint_directory directory{this->settings};
-    told_loads others;
+    peer_loads others;
     prompt_map prompts;
 
     // What others hold at the endpoints is read there.
--- a/decision/src/told_loads.cpp
+++ b/decision/src/peer_loads.cpp
@@ -1,11 +1,11 @@
-#include "told_loads.hpp"
+#include "peer_loads.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace pearhaven::decision {
 
-void told_loads::on_told(const std::string& router, std::vector<endpoint_load> loads, instant now)
+void peer_loads::on_told(const std::string& router, std::vector<endpoint_load> loads, instant now)
 {
     auto& said = this->words[router];
     this->add(said, -1);
@@ -13,7 +13,7 @@
     this->add(said, 1);
 }
 
-void told_loads::expire(instant now, duration lifetime)
+void peer_loads::expire(instant now, duration lifetime)
 {
     for (auto at = this->words.begin(); at != this->words.end();) {
         if (now - at->second.heard <= lifetime) {
@@ -25,7 +25,7 @@
     }
 }
 
-void told_loads::add(const word& said, int sign)
+void peer_loads::add(const word& said, int sign)
 {
     for (const auto& load : said.loads) {
         auto& lives = this->sums[load.address];
@@ -49,7 +49,7 @@
     }
 }
 
-told_loads::sum told_loads::of(const endpoint_host& where) const
+peer_loads::sum peer_loads::of(const endpoint_host& where) const
 {
     const auto found = this->sums.find(where.address);
     if (found == this->sums.end()) {
--- a/decision/src/told_loads.hpp
+++ b/decision/src/peer_loads.hpp
@@ -1,5 +1,5 @@
-#ifndef PEARHAVEN_DECISION_TOLD_LOADS_HPP
-#define PEARHAVEN_DECISION_TOLD_LOADS_HPP
+#ifndef PEARHAVEN_DECISION_PEER_LOADS_HPP
+#define PEARHAVEN_DECISION_PEER_LOADS_HPP
 
 #include "pearhaven/decision/endpoint_table.hpp"
 
@@ -14,7 +14,7 @@
 // What the other routers have said that they hold at the endpoints, added up. Each router's newest
 // word replaces its earlier one; a router that falls silent counts for nothing after a while, since
 // its callers have gone elsewhere or its work has ended unheard.
-class told_loads {
+class peer_loads {
 public:
     struct sum {
         std::int64_t requests = 0;
