--- a/decision/include/pearhaven/decision/rollout_exposure.hpp
+++ b/decision/include/pearhaven/decision/rollout_exposure.hpp
@@ -66,7 +66,7 @@
     // The version for a request. Roll-outs decide only for those that ask for a model and are bound
     // to no session, and only among the versions that the team may use.
     [[nodiscard]] rollout_choice choose(const version_question& question,
-                                        const rollout_context& note) const;
+                                        const rollout_context& context) const;
 
     // One more caller is sent to the roll-out's new version.
     void spend(const std::string& name);
@@ -108,16 +108,17 @@
         bool tripped_here = false;
     };
 
-    void take_up(tracked& known, const rollout& plan, std::uint64_t before);
+    void add_grant(tracked& known, const rollout& plan, std::uint64_t before);
     [[nodiscard]] bool is_tripped(const tracked& known) const;
-    [[nodiscard]] bool may_move(const tracked& known, const rollout_context& note,
-                                const version_question& question) const;
-    [[nodiscard]] const tracked* find_move(const std::string& from, const rollout_context& note,
+    [[nodiscard]] bool may_use_new_version(const tracked& known, const rollout_context& context,
                                            const version_question& question) const;
+    [[nodiscard]] const tracked* find_rollout(const std::string& from,
+                                              const rollout_context& context,
+                                              const version_question& question) const;
     void test(tracked& known, bool good) const;
 
     std::map<std::string, tracked> rollouts;
-    std::map<std::string, std::uint64_t> told_trips; // attempt, by version
+    std::map<std::string, std::uint64_t> peer_trips; // attempt, by version
     bool has_configuration = false;
     std::size_t fleet_rank = 0;
     std::size_t fleet_size = 1;
--- a/decision/include/pearhaven/decision/rollout_judge.hpp
+++ b/decision/include/pearhaven/decision/rollout_judge.hpp
@@ -38,14 +38,14 @@
 // until the test decides, the steps beyond the last each grant the last number of callers again.
 class rollout_judge {
 public:
-    [[nodiscard]] rollout_move judge(const rollout& plan, const rollout_fleet_evidence& sight,
+    [[nodiscard]] rollout_move judge(const rollout& plan, const rollout_fleet_evidence& evidence,
                                      instant now);
 
     // The duty is lost: another goes on.
     void forget() { this->steps.clear(); }
 
 private:
-    struct seen_step {
+    struct observed_step {
         std::uint64_t run = 0;
         std::uint32_t step = 0;
         instant since;
@@ -53,7 +53,7 @@
 
     [[nodiscard]] duration time_on_step(const rollout& plan, instant now);
 
-    std::map<std::string, seen_step> steps;
+    std::map<std::string, observed_step> steps;
 };
 
 } // namespace pearhaven::decision
--- a/decision/src/endpoint_choice.cpp
+++ b/decision/src/endpoint_choice.cpp
@@ -12,17 +12,17 @@
 namespace {
 
 // Of a subset, the part kept for other zones, so that work can leave a zone that is full or down.
-constexpr std::size_t remote_part_of_subset = 4;
+constexpr std::size_t remote_subset_divisor = 4;
 
 // How likely the endpoints that rank first and second for a prefix have it, where this router has
 // heard of nobody that sent it there. In a large fleet it hears from few of the others, and all
 // send there first.
-constexpr double likely_at_first = 0.6;
-constexpr double likely_at_second = 0.3;
+constexpr double cached_probability_at_first = 0.6;
+constexpr double cached_probability_at_second = 0.3;
 
 // Part of its slots that an endpoint has taken once packed requests have begun to fill it. Ordinary
 // ones are spread, and leave each with less.
-constexpr double being_filled_share = 0.125;
+constexpr double filling_threshold = 0.125;
 
 // How long a router keeps to its draw for a slot; covers the lag of most load reports.
 constexpr duration draw_period = std::chrono::seconds(1);
@@ -35,7 +35,7 @@
            static_cast<double>(std::uint64_t{1} << kept_bits);
 }
 
-bool is_left_out(const endpoint& where, const std::vector<std::string>& avoid, instant now)
+bool is_excluded(const endpoint& where, const std::vector<std::string>& avoid, instant now)
 {
     return contains(avoid, where.host.address) || where.load.draining() ||
            where.health.is_ejected(now);
@@ -43,8 +43,8 @@
 
 // This router's part of all that the endpoints hold. Without any work it counts as holding one
 // request, or it would never get in.
-double part_of_work(const std::vector<endpoint*>& subset, instant now,
-                    const endpoint_table_settings& settings)
+double share_of_work(const std::vector<endpoint*>& subset, instant now,
+                     const endpoint_table_settings& settings)
 {
     double own = 1.0;
     double all = 1.0;
@@ -81,7 +81,7 @@
                                  instant now, const endpoint_table_settings& settings)
 {
     const std::size_t size = settings.subset_size;
-    const std::size_t for_remote = std::min(from.remote.size(), size / remote_part_of_subset);
+    const std::size_t for_remote = std::min(from.remote.size(), size / remote_subset_divisor);
     std::vector<endpoint*> subset;
     subset.reserve(std::min(size, from.local.size() + from.remote.size()));
     const auto take = [&](const std::vector<endpoint*>& side, std::size_t until) {
@@ -89,7 +89,7 @@
             if (subset.size() >= until) {
                 return;
             }
-            if (!is_left_out(*where, avoid, now)) {
+            if (!is_excluded(*where, avoid, now)) {
                 subset.push_back(where);
             }
         }
@@ -99,14 +99,14 @@
     return subset;
 }
 
-const endpoint* endpoint_choice::packed_on(const route& from) const
+const endpoint* endpoint_choice::concentration_endpoint(const route& from) const
 {
     const endpoint* first = nullptr;
     for (const auto* side : {&from.local, &from.remote}) {
         for (const endpoint* where : *side) {
-            const bool ranks =
-                first == nullptr || this->rank_of_packed(*where) > this->rank_of_packed(*first);
-            if (ranks && !is_left_out(*where, this->wanted.avoid, this->now) &&
+            const bool ranks = first == nullptr ||
+                               this->concentration_rank(*where) > this->concentration_rank(*first);
+            if (ranks && !is_excluded(*where, this->wanted.avoid, this->now) &&
                 this->has_room(*where)) {
                 first = where;
             }
@@ -115,21 +115,22 @@
     return first;
 }
 
-std::pair<bool, std::uint64_t> endpoint_choice::rank_of_packed(const endpoint& where) const
+std::pair<bool, std::uint64_t> endpoint_choice::concentration_rank(const endpoint& where) const
 {
-    const double least = being_filled_share * where.capacity();
-    return {this->requests_at(where) >= least, mix(where.identity)};
+    const double threshold = filling_threshold * where.capacity();
+    return {this->requests_at(where) >= threshold, mix(where.identity)};
 }
 
 const endpoint* endpoint_choice::choose(const route& from, std::uint64_t random)
 {
-    const endpoint* concentrated = this->wanted.concentrated ? this->packed_on(from) : nullptr;
+    const endpoint* concentrated =
+        this->wanted.concentrated ? this->concentration_endpoint(from) : nullptr;
     if (concentrated != nullptr) {
         return concentrated;
     }
     const auto subset = subset_of(from, this->wanted.avoid, this->now, this->settings);
     if (this->wanted.kind == work_class::reading) {
-        this->own_part = part_of_work(subset, this->now, this->settings);
+        this->own_share = share_of_work(subset, this->now, this->settings);
     }
     std::vector<endpoint*> local;
     std::vector<endpoint*> remote;
@@ -152,13 +153,15 @@
 }
 
 double cold_work(const std::vector<prompt_part>& parts, const prompt_map& prompts,
-                 const endpoint& where, double likely, instant now)
+                 const endpoint& where, double cached_probability, instant now)
 {
     double cold = 0.0;
-    double held = 1.0; // a part is of use only behind all those before it
+    double cached = 1.0; // a part is of use only behind all those before it
     for (const auto& part : parts) {
-        held = std::min(held, std::max(likely, prompts.held(where.life(), part.key, now)));
-        cold += (1.0 - held) * part.work;
+        cached =
+            std::min(cached, std::max(cached_probability,
+                                      prompts.cached(where.current_incarnation(), part.key, now)));
+        cold += (1.0 - cached) * part.work;
     }
     return cold;
 }
@@ -176,10 +179,11 @@
         if (!this->has_room(*where)) {
             continue;
         }
-        const double likely = where == ranked[0]   ? likely_at_first
-                              : where == ranked[1] ? likely_at_second
-                                                   : 0.0;
-        const double cold = cold_work(this->wanted.parts, this->prompts, *where, likely, this->now);
+        const double cached_probability = where == ranked[0]   ? cached_probability_at_first
+                                          : where == ranked[1] ? cached_probability_at_second
+                                                               : 0.0;
+        const double cold =
+            cold_work(this->wanted.parts, this->prompts, *where, cached_probability, this->now);
         const bool is_local = where->host.zone == this->settings.zone;
         double score = this->load_of(*where) + this->reading_cost(*where, cold);
         score += is_local ? 0.0 : this->settings.zone_bias;
@@ -206,21 +210,21 @@
     if (where.outstanding >= limit) {
         return false;
     }
-    if (this->wanted.kind == work_class::reading && !this->readings_have_room(where, limit)) {
+    if (this->wanted.kind == work_class::reading && !this->has_room_for_readings(where, limit)) {
         return false;
     }
-    return this->reports_room(where);
+    return this->has_reported_room(where);
 }
 
 // A slot is left to lookups wherever there are two; where there is one, readings must run at last.
-bool endpoint_choice::readings_have_room(const endpoint& where, double limit) const
+bool endpoint_choice::has_room_for_readings(const endpoint& where, double limit) const
 {
     const double share = std::min(std::floor(where.long_share * limit), limit - 1.0);
     return where.readings < std::max(1.0, share);
 }
 
 // Counts in what other routers have sent there.
-bool endpoint_choice::reports_room(const endpoint& where) const
+bool endpoint_choice::has_reported_room(const endpoint& where) const
 {
     const auto held = where.load.held(this->now, this->settings.report_lifetime);
     const double capacity = where.load.capacity();
@@ -240,11 +244,11 @@
 bool endpoint_choice::may_add_reading(const endpoint& where, double held) const
 {
     const double held_by_others = std::max(0.0, held - where.outstanding);
-    const double reading_part =
+    const double reading_share =
         this->own.readings / std::max(1.0, static_cast<double>(this->own.outstanding));
-    const double most = std::max(1.0, where.long_share * where.load.capacity());
-    const double open = most - where.readings - held_by_others * reading_part;
-    if (open < 1.0) {
+    const double reading_limit = std::max(1.0, where.long_share * where.load.capacity());
+    const double free_slots = reading_limit - where.readings - held_by_others * reading_share;
+    if (free_slots < 1.0) {
         return false;
     }
     // All routers see the same slots come free, long after the fact; if each took them, readings
@@ -252,7 +256,7 @@
     // the work there is; parts of a slot go by a draw that differs by router, for a second each.
     const auto period = static_cast<std::uint64_t>(this->now.time_since_epoch() / draw_period);
     const std::uint64_t draw = mix(period ^ mix(where.identity ^ this->settings.router_seed));
-    return open * this->own_part + unit_fraction(draw) >= 1.0;
+    return free_slots * this->own_share + unit_fraction(draw) >= 1.0;
 }
 
 // Requests held and work held, each against what the endpoint bears.
@@ -271,8 +275,8 @@
 // This router's requests there and those of the others.
 double endpoint_choice::requests_at(const endpoint& where) const
 {
-    const auto told = this->others.of(where.host).requests;
-    return static_cast<double>(where.outstanding + told);
+    const auto by_peers = this->others.of(where.host).requests;
+    return static_cast<double>(where.outstanding + by_peers);
 }
 
 // The endpoint that is likely to hold the prompt's beginning in its cache, or the one that takes
@@ -282,16 +286,16 @@
     if (this->wanted.prefix_hash == 0) {
         return nullptr;
     }
-    const double most = this->most_load_when_warm(subset);
+    const double max_load = this->max_load_when_warm(subset);
     for (const endpoint* where : ranked_first(subset, this->wanted.prefix_hash)) {
-        if (where != nullptr && this->has_room(*where) && this->load_of(*where) < most) {
+        if (where != nullptr && this->has_room(*where) && this->load_of(*where) < max_load) {
             return where;
         }
     }
     return nullptr;
 }
 
-double endpoint_choice::most_load_when_warm(const std::vector<endpoint*>& subset) const
+double endpoint_choice::max_load_when_warm(const std::vector<endpoint*>& subset) const
 {
     double total = 0.0;
     for (const endpoint* where : subset) {
--- a/decision/src/endpoint_choice.hpp
+++ b/decision/src/endpoint_choice.hpp
@@ -28,16 +28,16 @@
 // What of the parts is not in the endpoint's cache, as work. `likely` is how likely it has one that
 // nothing is known of.
 [[nodiscard]] double cold_work(const std::vector<prompt_part>& parts, const prompt_map& prompts,
-                               const endpoint& where, double likely, instant now);
+                               const endpoint& where, double cached_probability, instant now);
 
 // One choice among the endpoints of a route.
 class endpoint_choice {
 public:
     // All that is passed by reference must outlive the choice.
     endpoint_choice(const endpoint_table_settings& chosen, const placement& request,
-                    const own_load& load, const peer_loads& told, const prompt_map& read,
+                    const own_load& load, const peer_loads& peers, const prompt_map& read,
                     instant at)
-        : settings(chosen), wanted(request), own(load), others(told), prompts(read), now(at)
+        : settings(chosen), wanted(request), own(load), others(peers), prompts(read), now(at)
     {}
 
     // Null when none has room.
@@ -46,7 +46,7 @@
     // Of the endpoints that may be taken the one that is being filled already, else the one that
     // every router ranks first, whatever its zone and its subset; null where none may. By rank
     // alone an endpoint that was lost and comes back empty would take the place of its successor.
-    [[nodiscard]] const endpoint* packed_on(const route& from) const;
+    [[nodiscard]] const endpoint* concentration_endpoint(const route& from) const;
 
 private:
     struct candidate {
@@ -54,10 +54,10 @@
         double score = 0.0;
     };
 
-    [[nodiscard]] std::pair<bool, std::uint64_t> rank_of_packed(const endpoint& where) const;
+    [[nodiscard]] std::pair<bool, std::uint64_t> concentration_rank(const endpoint& where) const;
     [[nodiscard]] bool has_room(const endpoint& where) const;
-    [[nodiscard]] bool readings_have_room(const endpoint& where, double limit) const;
-    [[nodiscard]] bool reports_room(const endpoint& where) const;
+    [[nodiscard]] bool has_room_for_readings(const endpoint& where, double limit) const;
+    [[nodiscard]] bool has_reported_room(const endpoint& where) const;
     [[nodiscard]] bool may_add_reading(const endpoint& where, double held) const;
     [[nodiscard]] double load_of(const endpoint& where) const;
     [[nodiscard]] const endpoint* cheapest(const std::vector<endpoint*>& subset,
@@ -66,7 +66,7 @@
     [[nodiscard]] double requests_at(const endpoint& where) const;
     [[nodiscard]] double load_of_work(double work, const endpoint& where) const;
     [[nodiscard]] const endpoint* choose_warm(const std::vector<endpoint*>& subset) const;
-    [[nodiscard]] double most_load_when_warm(const std::vector<endpoint*>& subset) const;
+    [[nodiscard]] double max_load_when_warm(const std::vector<endpoint*>& subset) const;
     [[nodiscard]] std::optional<candidate> better_of_two(const std::vector<endpoint*>& open,
                                                          std::uint64_t random) const;
     [[nodiscard]] candidate weigh(const endpoint& where) const;
@@ -77,7 +77,7 @@
     const peer_loads& others;
     const prompt_map& prompts;
     instant now;
-    double own_part = 1.0; // of all work at the endpoints
+    double own_share = 1.0; // of all work at the endpoints
 };
 
 } // namespace pearhaven::decision
--- a/decision/src/endpoint_directory.cpp
+++ b/decision/src/endpoint_directory.cpp
@@ -44,22 +44,22 @@
     const auto pools = differing(before->pools(), current.pools());
     const auto versions = differing(before->versions(), current.versions());
     const auto services = differing(before->services(), current.services());
-    touched all;
+    affected all;
     for (const auto& name : versions) {
         all.routes.insert({false, name});
     }
-    this->touch_pools(pools, all);
-    this->touch_services(services, all);
+    this->add_affected_by_pools(pools, all);
+    this->add_affected_by_services(services, all);
     this->unindex(pools, versions, services);
     this->config = configuration_ptr(&current);
     this->index(pools, versions, services);
-    this->touch_pools(pools, all);
-    this->touch_services(services, all);
+    this->add_affected_by_pools(pools, all);
+    this->add_affected_by_services(services, all);
     for (const auto& key : all.routes) {
         this->forget_route(key);
     }
     for (const auto& address : all.addresses) {
-        this->place_anew(this->endpoints.at(address));
+        this->reindex_endpoint(this->endpoints.at(address));
     }
 }
 
@@ -78,7 +78,7 @@
 }
 
 // What the pools select, as the configuration in force states them.
-void endpoint_directory::touch_pools(const name_set& names, touched& all) const
+void endpoint_directory::add_affected_by_pools(const name_set& names, affected& all) const
 {
     for (const auto& name : names) {
         const pool* offered = find_in(this->config->pools(), name);
@@ -92,7 +92,7 @@
     }
 }
 
-void endpoint_directory::touch_services(const name_set& names, touched& all) const
+void endpoint_directory::add_affected_by_services(const name_set& names, affected& all) const
 {
     for (const auto& name : names) {
         all.routes.insert({true, name});
@@ -144,52 +144,55 @@
     }
 }
 
-host_news endpoint_directory::set_hosts(const std::vector<endpoint_host>& hosts, instant now)
+host_list_changes endpoint_directory::set_hosts(const std::vector<endpoint_host>& hosts,
+                                                instant now)
 {
-    host_news news;
+    host_list_changes changes;
     name_set listed;
     this->refused.clear();
     for (const auto& host : hosts) {
         listed.insert(host.address);
-        this->take(host, now, news);
+        this->apply_host(host, now, changes);
     }
-    this->drop_unlisted(listed, now, news);
-    this->forget_old_addresses(now, news);
-    return news;
+    this->drop_unlisted(listed, now, changes);
+    this->expire_histories(now, changes);
+    return changes;
 }
 
-host_news endpoint_directory::set_host(const endpoint_host& host, instant now)
+host_list_changes endpoint_directory::set_host(const endpoint_host& host, instant now)
 {
-    host_news news;
-    this->take(host, now, news);
-    this->drop_idle_unlisted(now, news);
-    this->forget_old_addresses(now, news);
-    return news;
+    host_list_changes changes;
+    this->apply_host(host, now, changes);
+    this->drop_idle_unlisted(now, changes);
+    this->expire_histories(now, changes);
+    return changes;
 }
 
-host_news endpoint_directory::drop_host(const std::string& address, instant now)
+host_list_changes endpoint_directory::drop_host(const std::string& address, instant now)
 {
-    host_news news;
+    host_list_changes changes;
     this->refused.erase(address);
-    this->drop(address, now, news);
-    this->drop_idle_unlisted(now, news);
-    this->forget_old_addresses(now, news);
-    return news;
+    this->drop(address, now, changes);
+    this->drop_idle_unlisted(now, changes);
+    this->expire_histories(now, changes);
+    return changes;
 }
 
-void endpoint_directory::take(const endpoint_host& host, instant now, host_news& news)
+void endpoint_directory::apply_host(const endpoint_host& host, instant now,
+                                    host_list_changes& changes)
 {
-    this->take_host(host, news);
+    this->update_host(host, changes);
     if (host.leaving) {
         this->mark_leaving(host.address, host.incarnation, now);
     }
 }
 
-void endpoint_directory::take_host(const endpoint_host& host, host_news& news)
+void endpoint_directory::update_host(const endpoint_host& host, host_list_changes& changes)
 {
     endpoint_host newer = host;
     if (this->settings.lists_in_order && newer.incarnation == 0) {
-        newer.incarnation = this->last_life(host.address); // without one it tells of no new start
+        newer.incarnation =
+            this->last_incarnation(host.address); // without one it tells of no new start
     }
     this->refused.erase(host.address);
     endpoint* known = this->find(host.address);
@@ -198,46 +201,46 @@
         return;
     }
     if (known == nullptr) {
-        this->begin(newer);
+        this->add_endpoint(newer);
         return;
     }
     if (known->listed && newer == known->host) {
         return;
     }
-    this->unplace(*known);
+    this->unindex_endpoint(*known);
     const bool was_listed = std::exchange(known->listed, true);
     this->unlisted.erase(host.address);
-    this->change(*known, newer, was_listed, news);
-    this->place(*known);
+    this->update_endpoint(*known, newer, was_listed, changes);
+    this->index_endpoint(*known);
 }
 
-void endpoint_directory::begin(const endpoint_host& host)
+void endpoint_directory::add_endpoint(const endpoint_host& host)
 {
-    const auto memory = this->memories.find(host.address);
-    if (memory != this->memories.end()) {
-        this->kept.erase({memory->second.made, host.address});
+    const auto history = this->histories.find(host.address);
+    if (history != this->histories.end()) {
+        this->retained.erase({history->second.retained_since, host.address});
     }
     endpoint& added = this->endpoints.try_emplace(host.address, host).first->second;
-    this->remember_life(host.address, host.incarnation);
-    this->place(added);
+    this->remember_incarnation(host.address, host.incarnation);
+    this->index_endpoint(added);
 }
 
-void endpoint_directory::change(endpoint& known, const endpoint_host& newer, bool was_listed,
-                                host_news& news)
+void endpoint_directory::update_endpoint(endpoint& known, const endpoint_host& newer,
+                                         bool was_listed, host_list_changes& changes)
 {
     const auto before = known.host.incarnation;
     if (newer.incarnation != before && this->is_newer(known, newer)) {
         if (was_listed) {
-            news.ended.push_back({newer.address, before, newer.incarnation});
+            changes.ended.push_back({newer.address, before, newer.incarnation});
         }
-        news.outstanding_lost += known.outstanding;
-        news.readings_lost += known.readings;
-        this->remember_life(newer.address, before);
-        this->remember_life(newer.address, newer.incarnation);
+        changes.outstanding_lost += known.outstanding;
+        changes.readings_lost += known.readings;
+        this->remember_incarnation(newer.address, before);
+        this->remember_incarnation(newer.address, newer.incarnation);
         known.replace(newer);
         return;
     }
-    this->remember_life(newer.address, before);
+    this->remember_incarnation(newer.address, before);
     // The list lags: it may still name a process that another one has replaced since.
     if (newer.incarnation == before) {
         known.host = newer;
@@ -251,65 +254,66 @@
                                          : host.incarnation > known.host.incarnation;
 }
 
-void endpoint_directory::remember_life(const std::string& address, std::uint64_t incarnation)
+void endpoint_directory::remember_incarnation(const std::string& address, std::uint64_t incarnation)
 {
     // A write of a process that died is carried out some seconds late at most; in that time no
     // endpoint starts so often.
-    constexpr std::size_t most_lives = 16;
-    auto& lives = this->memories[address].lives;
-    if (!lives.empty() && lives.back() == incarnation) {
+    constexpr std::size_t max_incarnations = 16;
+    auto& incarnations = this->histories[address].incarnations;
+    if (!incarnations.empty() && incarnations.back() == incarnation) {
         return;
     }
-    lives.push_back(incarnation);
-    if (lives.size() > most_lives) {
-        lives.erase(lives.begin());
+    incarnations.push_back(incarnation);
+    if (incarnations.size() > max_incarnations) {
+        incarnations.erase(incarnations.begin());
     }
 }
 
 // The newest known incarnation; 0 for none.
-std::uint64_t endpoint_directory::last_life(const std::string& address) const
+std::uint64_t endpoint_directory::last_incarnation(const std::string& address) const
 {
-    const auto memory = this->memories.find(address);
-    const bool is_known = memory != this->memories.end() && !memory->second.lives.empty();
-    return is_known ? memory->second.lives.back() : 0;
+    const auto history = this->histories.find(address);
+    const bool is_known = history != this->histories.end() && !history->second.incarnations.empty();
+    return is_known ? history->second.incarnations.back() : 0;
 }
 
 // Whether another process has replaced that one.
 bool endpoint_directory::has_ended(const std::string& address, std::uint64_t incarnation) const
 {
-    const auto memory = this->memories.find(address);
-    if (memory == this->memories.end() || memory->second.lives.empty()) {
+    const auto history = this->histories.find(address);
+    if (history == this->histories.end() || history->second.incarnations.empty()) {
         return false;
     }
-    const auto& lives = memory->second.lives;
-    return incarnation != 0 &&
-           std::find(lives.begin(), lives.end() - 1, incarnation) != lives.end() - 1;
+    const auto& incarnations = history->second.incarnations;
+    return incarnation != 0 && std::find(incarnations.begin(), incarnations.end() - 1,
+                                         incarnation) != incarnations.end() - 1;
 }
 
-void endpoint_directory::drop(const std::string& address, instant now, host_news& news)
+void endpoint_directory::drop(const std::string& address, instant now, host_list_changes& changes)
 {
     const auto at = this->endpoints.find(address);
     if (at == this->endpoints.end()) {
         return;
     }
     endpoint& known = at->second;
-    this->unplace(known);
+    this->unindex_endpoint(known);
     if (std::exchange(known.listed, false)) {
-        news.ended.push_back({address, known.host.incarnation, std::nullopt});
+        changes.ended.push_back({address, known.host.incarnation, std::nullopt});
     }
     // What runs there must still be counted, should the host come back to the list.
     if (known.outstanding > 0) {
         this->unlisted.insert(address);
-        this->place(known);
+        this->index_endpoint(known);
         return;
     }
-    news.readings_lost += known.readings;
+    changes.readings_lost += known.readings;
     this->endpoints.erase(at);
     this->unlisted.erase(address);
-    this->keep_memory(address, now);
+    this->retain_history(address, now);
 }
 
-void endpoint_directory::drop_unlisted(const name_set& listed, instant now, host_news& news)
+void endpoint_directory::drop_unlisted(const name_set& listed, instant now,
+                                       host_list_changes& changes)
 {
     name_set gone;
     for (const auto& [address, known] : this->endpoints) {
@@ -318,38 +322,38 @@
         }
     }
     for (const auto& address : gone) {
-        this->drop(address, now, news);
+        this->drop(address, now, changes);
     }
 }
 
-void endpoint_directory::drop_idle_unlisted(instant now, host_news& news)
+void endpoint_directory::drop_idle_unlisted(instant now, host_list_changes& changes)
 {
     const name_set candidates = this->unlisted;
     for (const auto& address : candidates) {
-        this->drop(address, now, news);
+        this->drop(address, now, changes);
     }
 }
 
 // From now on, for an address without an endpoint.
-void endpoint_directory::keep_memory(const std::string& address, instant now)
+void endpoint_directory::retain_history(const std::string& address, instant now)
 {
-    address_memory& memory = this->memories[address];
-    this->kept.erase({memory.made, address});
-    memory.made = now;
-    this->kept.insert({now, address});
+    address_history& history = this->histories[address];
+    this->retained.erase({history.retained_since, address});
+    history.retained_since = now;
+    this->retained.insert({now, address});
 }
 
 // A listed host that was refused for what is forgotten here is taken.
-void endpoint_directory::forget_old_addresses(instant now, host_news& news)
+void endpoint_directory::expire_histories(instant now, host_list_changes& changes)
 {
-    while (!this->kept.empty() &&
-           now - this->kept.begin()->made > this->settings.departed_retention) {
-        const std::string address = this->kept.begin()->address;
-        this->kept.erase(this->kept.begin());
-        this->memories.erase(address);
+    while (!this->retained.empty() &&
+           now - this->retained.begin()->retained_since > this->settings.departed_retention) {
+        const std::string address = this->retained.begin()->address;
+        this->retained.erase(this->retained.begin());
+        this->histories.erase(address);
         const auto waiting = this->refused.extract(address);
         if (!waiting.empty()) {
-            this->take(waiting.mapped(), now, news);
+            this->apply_host(waiting.mapped(), now, changes);
         }
     }
 }
@@ -366,26 +370,26 @@
         return;
     }
     if (known == nullptr) {
-        this->keep_memory(address, now);
+        this->retain_history(address, now);
     }
-    address_memory& memory = this->memories[address];
-    if (!this->settings.lists_in_order && incarnation < memory.leaving.value_or(0)) {
+    address_history& history = this->histories[address];
+    if (!this->settings.lists_in_order && incarnation < history.leaving.value_or(0)) {
         return;
     }
     const bool was_leaving = known != nullptr && this->is_leaving(*known);
-    memory.leaving = incarnation;
+    history.leaving = incarnation;
     if (known != nullptr && this->is_leaving(*known) != was_leaving) {
-        this->place_anew(*known);
+        this->reindex_endpoint(*known);
     }
 }
 
 bool endpoint_directory::is_leaving(const endpoint& where) const
 {
-    const auto memory = this->memories.find(where.host.address);
-    if (memory == this->memories.end() || !memory->second.leaving) {
+    const auto history = this->histories.find(where.host.address);
+    if (history == this->histories.end() || !history->second.leaving) {
         return false;
     }
-    const auto marked = *memory->second.leaving;
+    const auto marked = *history->second.leaving;
     return this->settings.lists_in_order ? marked == where.host.incarnation
                                          : marked >= where.host.incarnation;
 }
@@ -397,9 +401,9 @@
 }
 
 // Puts the endpoint where its tags, its listing and its leaving have it.
-void endpoint_directory::place(endpoint& where)
+void endpoint_directory::index_endpoint(endpoint& where)
 {
-    this->describe(where);
+    this->apply_configuration(where);
     this->endpoints_by_tags.add(where.host.tags, where.host.address);
     if (!where.listed) {
         return;
@@ -410,12 +414,12 @@
     };
     group.insert(std::lower_bound(group.begin(), group.end(), &where, before), &where);
     if (!this->is_leaving(where)) {
-        this->put_into_routes(where);
+        this->add_to_routes(where);
     }
 }
 
 // Undoes `place`. The endpoint must be as it was then.
-void endpoint_directory::unplace(endpoint& where)
+void endpoint_directory::unindex_endpoint(endpoint& where)
 {
     this->endpoints_by_tags.remove(where.host.tags, where.host.address);
     const auto group = this->groups.find(where.group);
@@ -433,14 +437,14 @@
     where.routes.clear();
 }
 
-void endpoint_directory::place_anew(endpoint& where)
+void endpoint_directory::reindex_endpoint(endpoint& where)
 {
-    this->unplace(where);
-    this->place(where);
+    this->unindex_endpoint(where);
+    this->index_endpoint(where);
 }
 
 // Those that are built; the others find it when they are.
-void endpoint_directory::put_into_routes(endpoint& where)
+void endpoint_directory::add_to_routes(endpoint& where)
 {
     const bool is_local = where.host.zone == this->settings.zone;
     const auto better = [this](const endpoint* left, const endpoint* right) {
@@ -457,7 +461,7 @@
     }
 }
 
-void endpoint_directory::describe(endpoint& where) const
+void endpoint_directory::apply_configuration(endpoint& where) const
 {
     double slots = this->settings.service_slots;
     where.long_share = 1.0;
@@ -544,7 +548,7 @@
     if (found != this->routes.end()) {
         return found->second;
     }
-    // Only names of the configuration are kept, so that callers' inventions take no memory.
+    // Only names of the configuration are retained, so that callers' inventions take no history.
     const bool exists = is_service ? this->config->services().count(name) > 0
                                    : this->config->versions().count(name) > 0;
     static const route empty;
@@ -580,9 +584,9 @@
 
 const std::vector<endpoint*>& endpoint_directory::peers_of(const endpoint& where) const
 {
-    static const std::vector<endpoint*> nobody;
+    static const std::vector<endpoint*> no_peers;
     const auto group = this->groups.find(where.group);
-    return group == this->groups.end() ? nobody : group->second;
+    return group == this->groups.end() ? no_peers : group->second;
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/endpoint_directory.hpp
+++ b/decision/src/endpoint_directory.hpp
@@ -23,10 +23,11 @@
 };
 
 // What followed from a change of the host list.
-struct host_news {
+struct host_list_changes {
     std::vector<ended_incarnation> ended;
-    std::uint32_t outstanding_lost = 0; // requests that ran in those lives and count no longer
-    std::uint32_t readings_lost = 0;    // of them
+    std::uint32_t outstanding_lost =
+        0;                           // requests that ran in those incarnations and count no longer
+    std::uint32_t readings_lost = 0; // of them
 };
 
 // Which endpoints there are, which of them leave, and what each serves. A change of an endpoint
@@ -40,9 +41,9 @@
     // Shares the configuration.
     void configure(const configuration& current);
 
-    [[nodiscard]] host_news set_hosts(const std::vector<endpoint_host>& hosts, instant now);
-    [[nodiscard]] host_news set_host(const endpoint_host& host, instant now);
-    [[nodiscard]] host_news drop_host(const std::string& address, instant now);
+    [[nodiscard]] host_list_changes set_hosts(const std::vector<endpoint_host>& hosts, instant now);
+    [[nodiscard]] host_list_changes set_host(const endpoint_host& host, instant now);
+    [[nodiscard]] host_list_changes drop_host(const std::string& address, instant now);
     void mark_leaving(const std::string& address, std::uint64_t incarnation, instant now);
 
     endpoint* find(const std::string& address);
@@ -66,48 +67,51 @@
 
 private:
     // What stays known of an address while no list names it.
-    struct address_memory {
-        std::optional<std::uint64_t> leaving; // the incarnation that was marked
-        std::vector<std::uint64_t> lives;     // incarnations in the order they came, newest last
-        instant made{};                       // since when it is kept for an unlisted address
+    struct address_history {
+        std::optional<std::uint64_t> leaving;    // the incarnation that was marked
+        std::vector<std::uint64_t> incarnations; // incarnations in the order they came, newest last
+        instant retained_since{}; // since when it is retained for an unlisted address
     };
 
-    // An address of which only the memory is there. Ordered by the moment from which it is kept.
-    struct kept_memory {
-        instant made{};
+    // An address of which only the history is there. Ordered by the moment from which it is
+    // retained.
+    struct retained_history {
+        instant retained_since{};
         std::string address;
 
-        friend bool operator<(const kept_memory& left, const kept_memory& right)
+        friend bool operator<(const retained_history& left, const retained_history& right)
         {
-            return std::tie(left.made, left.address) < std::tie(right.made, right.address);
+            return std::tie(left.retained_since, left.address) <
+                   std::tie(right.retained_since, right.address);
         }
     };
 
     // What a change of the configuration touches.
-    struct touched {
+    struct affected {
         name_set addresses;
         std::set<route_key> routes;
     };
 
-    void take(const endpoint_host& host, instant now, host_news& news);
-    void take_host(const endpoint_host& host, host_news& news);
-    void begin(const endpoint_host& host);
-    void change(endpoint& known, const endpoint_host& newer, bool was_listed, host_news& news);
+    void apply_host(const endpoint_host& host, instant now, host_list_changes& changes);
+    void update_host(const endpoint_host& host, host_list_changes& changes);
+    void add_endpoint(const endpoint_host& host);
+    void update_endpoint(endpoint& known, const endpoint_host& newer, bool was_listed,
+                         host_list_changes& changes);
     [[nodiscard]] bool is_newer(const endpoint& known, const endpoint_host& host) const;
-    void remember_life(const std::string& address, std::uint64_t incarnation);
-    [[nodiscard]] std::uint64_t last_life(const std::string& address) const;
+    void remember_incarnation(const std::string& address, std::uint64_t incarnation);
+    [[nodiscard]] std::uint64_t last_incarnation(const std::string& address) const;
     [[nodiscard]] bool has_ended(const std::string& address, std::uint64_t incarnation) const;
-    void drop(const std::string& address, instant now, host_news& news);
-    void drop_unlisted(const name_set& listed, instant now, host_news& news);
-    void drop_idle_unlisted(instant now, host_news& news);
-    void keep_memory(const std::string& address, instant now);
-    void forget_old_addresses(instant now, host_news& news);
-
-    void place(endpoint& where);
-    void unplace(endpoint& where);
-    void place_anew(endpoint& where);
-    void put_into_routes(endpoint& where);
-    void describe(endpoint& where) const;
+    void drop(const std::string& address, instant now, host_list_changes& changes);
+    void drop_unlisted(const name_set& listed, instant now, host_list_changes& changes);
+    void drop_idle_unlisted(instant now, host_list_changes& changes);
+    void retain_history(const std::string& address, instant now);
+    void expire_histories(instant now, host_list_changes& changes);
+
+    void index_endpoint(endpoint& where);
+    void unindex_endpoint(endpoint& where);
+    void reindex_endpoint(endpoint& where);
+    void add_to_routes(endpoint& where);
+    void apply_configuration(endpoint& where) const;
     [[nodiscard]] std::vector<route_key> served_by(const endpoint_host& host) const;
     [[nodiscard]] name_set endpoints_of(const route_key& key) const;
     [[nodiscard]] name_set endpoints_of(const selector& hosts) const;
@@ -116,8 +120,8 @@
     [[nodiscard]] bool is_better(const endpoint& left, const endpoint& right) const;
 
     void forget_route(const route_key& key);
-    void touch_pools(const name_set& names, touched& all) const;
-    void touch_services(const name_set& names, touched& all) const;
+    void add_affected_by_pools(const name_set& names, affected& all) const;
+    void add_affected_by_services(const name_set& names, affected& all) const;
     void unindex(const name_set& pools, const name_set& versions, const name_set& services);
     void index(const name_set& pools, const name_set& versions, const name_set& services);
 
@@ -126,8 +130,8 @@
     std::map<std::string, endpoint> endpoints;
     std::map<std::string, endpoint_host> refused; // listed, but of a life that has ended
     name_set unlisted;                            // endpoints that no list names, but in use then
-    std::map<std::string, address_memory> memories;
-    std::set<kept_memory> kept; // the memories whose address has no endpoint
+    std::map<std::string, address_history> histories;
+    std::set<retained_history> retained; // the histories whose address has no endpoint
     std::map<route_key, route> routes;
     std::map<std::string, std::vector<endpoint*>> groups; // in the order of their addresses
 
--- a/decision/src/endpoint_health.cpp
+++ b/decision/src/endpoint_health.cpp
@@ -8,7 +8,7 @@
 
 // A trial that lasts this long has met no dead endpoint; it may be a long answer. Waiting for its
 // end would leave the endpoint idle for minutes.
-constexpr duration trial_patience = std::chrono::seconds(3);
+constexpr duration trial_timeout = std::chrono::seconds(3);
 
 } // namespace
 
@@ -40,7 +40,7 @@
 {
     if (this->returning && !this->is_ejected(now)) {
         ++this->trials;
-        this->next_trial = now + trial_patience;
+        this->next_trial = now + trial_timeout;
     }
 }
 
@@ -53,9 +53,9 @@
     if (!this->returning && now - this->returned_at > settings.longest_ejection) {
         this->ejections = 0;
     }
-    constexpr std::uint32_t most_doublings = 16;
+    constexpr std::uint32_t max_doublings = 16;
     const duration wanted =
-        settings.first_ejection * (std::int64_t{1} << std::min(this->ejections, most_doublings));
+        settings.first_ejection * (std::int64_t{1} << std::min(this->ejections, max_doublings));
     this->ejected_until = now + std::min(wanted, settings.longest_ejection);
     ++this->ejections;
     this->returning = true;
--- a/decision/src/endpoint_state.hpp
+++ b/decision/src/endpoint_state.hpp
@@ -116,7 +116,10 @@
         return keys;
     }
 
-    [[nodiscard]] endpoint_life life() const { return {this->identity, this->host.incarnation}; }
+    [[nodiscard]] endpoint_incarnation current_incarnation() const
+    {
+        return {this->identity, this->host.incarnation};
+    }
 
     first_token_mean& first_token(work_class kind)
     {
--- a/decision/src/endpoint_table.cpp
+++ b/decision/src/endpoint_table.cpp
@@ -24,14 +24,14 @@
 }
 
 // Whether the endpoint is there and of that incarnation; of any, without one.
-bool is_at(const endpoint* where, std::optional<std::uint64_t> incarnation)
+bool has_incarnation(const endpoint* where, std::optional<std::uint64_t> incarnation)
 {
     return where != nullptr &&
            incarnation.value_or(where->host.incarnation) == where->host.incarnation;
 }
 
 // Where either side does not know the incarnation, nothing speaks against it.
-bool may_be_of(const endpoint* where, const load_report& report)
+bool may_describe(const endpoint* where, const load_report& report)
 {
     if (where == nullptr) {
         return false;
@@ -46,13 +46,13 @@
 public:
     explicit state(endpoint_table_settings chosen) : settings(std::move(chosen)) {}
 
-    std::vector<ended_incarnation> take(host_news news);
+    std::vector<ended_incarnation> apply(host_list_changes changes);
     void started(endpoint& where, work_class kind, double work, instant now);
     void ended(endpoint& where, work_class kind, double work, attempt_result result,
                duration first_token, instant now);
     [[nodiscard]] std::optional<std::string> choose(const placement& wanted, instant now,
                                                     std::uint64_t random);
-    [[nodiscard]] const endpoint* packed_on(const placement& wanted, instant now);
+    [[nodiscard]] const endpoint* concentration_endpoint(const placement& wanted, instant now);
     void add_used(std::set<std::string>& used, const std::string& name, bool is_service,
                   instant now);
 
@@ -62,7 +62,7 @@
     prompt_map prompts;
 
     // What others hold at the endpoints is read there.
-    void note_told(const std::vector<endpoint_load>& loads, instant now);
+    void record_peer_parts(const std::vector<endpoint_load>& loads, instant now);
 
     // This router's requests there, and those of the others that it hears of.
     [[nodiscard]] double requests_at(const endpoint& where) const
@@ -71,14 +71,14 @@
     }
 
     // By which what this router knows of is multiplied, to stand for all `routers`.
-    [[nodiscard]] double unheard_factor(std::size_t routers) const;
+    [[nodiscard]] double extrapolation_factor(std::size_t routers) const;
 
     // The same for what is held at an endpoint that is being filled, of which more routers tell.
-    [[nodiscard]] double unheard_factor_when_filling(std::size_t routers) const;
+    [[nodiscard]] double extrapolation_factor_when_filling(std::size_t routers) const;
 
 private:
-    void count_out(endpoint& where, work_class kind, double work, instant now);
-    void judge(endpoint& where, endpoint_health::verdict verdict, instant now);
+    void remove_attempt(endpoint& where, work_class kind, double work, instant now);
+    void apply_verdict(endpoint& where, endpoint_health::verdict verdict, instant now);
     bool is_slow(endpoint& where, work_class kind, duration first_token, bool on_trial,
                  instant now) const;
     [[nodiscard]] std::optional<double> usual_first_token(const endpoint& where,
@@ -89,14 +89,14 @@
 };
 
 // What ran at processes that were replaced is held no longer.
-std::vector<ended_incarnation> endpoint_table::state::take(host_news news)
+std::vector<ended_incarnation> endpoint_table::state::apply(host_list_changes changes)
 {
-    this->own.outstanding -= news.outstanding_lost;
-    this->own.readings -= news.readings_lost;
-    return std::move(news.ended);
+    this->own.outstanding -= changes.outstanding_lost;
+    this->own.readings -= changes.readings_lost;
+    return std::move(changes.ended);
 }
 
-void endpoint_table::state::note_told(const std::vector<endpoint_load>& loads, instant now)
+void endpoint_table::state::record_peer_parts(const std::vector<endpoint_load>& loads, instant now)
 {
     for (const auto& load : loads) {
         const endpoint* where = this->directory.find(load.address);
@@ -104,18 +104,18 @@
             continue;
         }
         for (const auto part : load.parts) {
-            this->prompts.note({where->identity, load.incarnation}, part, now);
+            this->prompts.record({where->identity, load.incarnation}, part, now);
         }
     }
 }
 
-double endpoint_table::state::unheard_factor(std::size_t routers) const
+double endpoint_table::state::extrapolation_factor(std::size_t routers) const
 {
-    const auto heard = static_cast<double>(this->others.routers() + 1);
-    return std::max(1.0, static_cast<double>(routers) / heard);
+    const auto known_routers = static_cast<double>(this->others.routers() + 1);
+    return std::max(1.0, static_cast<double>(routers) / known_routers);
 }
 
-double endpoint_table::state::unheard_factor_when_filling(std::size_t routers) const
+double endpoint_table::state::extrapolation_factor_when_filling(std::size_t routers) const
 {
     const auto peers = std::max<std::size_t>(routers, 1) - 1;
     const auto usual = static_cast<double>(std::clamp<std::size_t>(peers, 1, load_fanout));
@@ -143,7 +143,7 @@
         return;
     }
     const double in_use = where.outstanding;
-    this->count_out(where, kind, work, now);
+    this->remove_attempt(where, kind, work, now);
     const bool on_trial = where.health.on_trial();
     auto verdict = where.health.on_result(result, where.outstanding, now, this->settings);
     if (result == attempt_result::finished) {
@@ -155,10 +155,11 @@
     if (result == attempt_result::refused) {
         where.limit.on_refused(now, this->settings);
     }
-    this->judge(where, verdict, now);
+    this->apply_verdict(where, verdict, now);
 }
 
-void endpoint_table::state::count_out(endpoint& where, work_class kind, double work, instant now)
+void endpoint_table::state::remove_attempt(endpoint& where, work_class kind, double work,
+                                           instant now)
 {
     const std::uint32_t reading = kind == work_class::reading && where.readings > 0 ? 1 : 0;
     --where.outstanding;
@@ -169,7 +170,8 @@
     where.load.on_ended(now);
 }
 
-void endpoint_table::state::judge(endpoint& where, endpoint_health::verdict verdict, instant now)
+void endpoint_table::state::apply_verdict(endpoint& where, endpoint_health::verdict verdict,
+                                          instant now)
 {
     using health_verdict = endpoint_health::verdict;
     if (verdict == health_verdict::returned) {
@@ -206,8 +208,8 @@
     }
     first_token_mean& own_mean = where.first_token(kind);
     own_mean.add(static_cast<double>(first_token.count()));
-    const bool enough = own_mean.samples >= this->settings.slow_samples;
-    if (!on_trial && (!enough || now < where.next_slowness_check)) {
+    const bool has_enough_samples = own_mean.samples >= this->settings.slow_samples;
+    if (!on_trial && (!has_enough_samples || now < where.next_slowness_check)) {
         return false;
     }
     where.next_slowness_check = now + slowness_check_interval;
@@ -245,11 +247,11 @@
     return chosen == nullptr ? std::nullopt : std::make_optional(chosen->host.address);
 }
 
-const endpoint* endpoint_table::state::packed_on(const placement& wanted, instant now)
+const endpoint* endpoint_table::state::concentration_endpoint(const placement& wanted, instant now)
 {
     const route& from = this->directory.route_for(wanted.version_or_service, wanted.is_service);
     return endpoint_choice(this->settings, wanted, this->own, this->others, this->prompts, now)
-        .packed_on(from);
+        .concentration_endpoint(from);
 }
 
 void endpoint_table::state::add_used(std::set<std::string>& used, const std::string& name,
@@ -275,17 +277,17 @@
 std::vector<ended_incarnation> endpoint_table::set_hosts(const std::vector<endpoint_host>& hosts,
                                                          instant now)
 {
-    return this->inner->take(this->inner->directory.set_hosts(hosts, now));
+    return this->inner->apply(this->inner->directory.set_hosts(hosts, now));
 }
 
 std::vector<ended_incarnation> endpoint_table::set_host(const endpoint_host& host, instant now)
 {
-    return this->inner->take(this->inner->directory.set_host(host, now));
+    return this->inner->apply(this->inner->directory.set_host(host, now));
 }
 
 std::vector<ended_incarnation> endpoint_table::drop_host(const std::string& address, instant now)
 {
-    return this->inner->take(this->inner->directory.drop_host(address, now));
+    return this->inner->apply(this->inner->directory.drop_host(address, now));
 }
 
 void endpoint_table::mark_leaving(const std::string& address, std::uint64_t incarnation,
@@ -301,7 +303,7 @@
         this->inner->started(*where, kind, work, now);
         where->add(parts);
         for (const auto& part : parts) {
-            this->inner->prompts.note(where->life(), part.key, now);
+            this->inner->prompts.record(where->current_incarnation(), part.key, now);
         }
     }
 }
@@ -312,7 +314,7 @@
                            const std::vector<prompt_part>& parts)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation)) {
+    if (has_incarnation(where, incarnation)) {
         where->remove(parts);
         this->inner->ended(*where, kind, work, result, first_token, now);
     }
@@ -322,7 +324,7 @@
                                     std::optional<std::uint64_t> incarnation)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation)) {
+    if (has_incarnation(where, incarnation)) {
         where->work = std::max(0.0, where->work - work);
     }
 }
@@ -330,7 +332,7 @@
 void endpoint_table::answer_began(const std::string& address, std::uint64_t incarnation)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation)) {
+    if (has_incarnation(where, incarnation)) {
         ++where->writing;
     }
 }
@@ -338,7 +340,7 @@
 void endpoint_table::answer_ended(const std::string& address, std::uint64_t incarnation)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation) && where->writing > 0) {
+    if (has_incarnation(where, incarnation) && where->writing > 0) {
         --where->writing;
     }
 }
@@ -346,7 +348,7 @@
 bool endpoint_table::reported(const std::string& address, const load_report& report, instant now)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (!may_be_of(where, report)) {
+    if (!may_describe(where, report)) {
         return false;
     }
     where->load.on_report(report, now);
@@ -371,8 +373,8 @@
 void endpoint_table::peer_reported(const std::string& router, std::vector<endpoint_load> loads,
                                    instant now)
 {
-    this->inner->note_told(loads, now);
-    this->inner->others.on_told(router, std::move(loads), now);
+    this->inner->record_peer_parts(loads, now);
+    this->inner->others.on_report(router, std::move(loads), now);
 }
 
 double endpoint_table::cold_work_at(const std::string& address,
@@ -389,7 +391,7 @@
         return 0.0;
     }
     const double known = where->work + this->inner->others.of(where->host).work;
-    return known * this->inner->unheard_factor(routers);
+    return known * this->inner->extrapolation_factor(routers);
 }
 
 double endpoint_table::writing_per_slot(const std::string& address, std::size_t routers) const
@@ -398,19 +400,20 @@
     if (where == nullptr || where->capacity() <= 0.0) {
         return 0.0;
     }
-    const auto told = this->inner->others.of(where->host).writing;
-    const auto known = static_cast<double>(where->writing + told);
-    return known * this->inner->unheard_factor_when_filling(routers) / where->capacity();
+    const auto by_peers = this->inner->others.of(where->host).writing;
+    const auto known = static_cast<double>(where->writing + by_peers);
+    return known * this->inner->extrapolation_factor_when_filling(routers) / where->capacity();
 }
 
 bool endpoint_table::has_concentrated_room(const placement& wanted, std::size_t routers,
                                            instant now) const
 {
-    const endpoint* where = this->inner->packed_on(wanted, now);
+    const endpoint* where = this->inner->concentration_endpoint(wanted, now);
     if (where == nullptr) {
         return false;
     }
-    return this->inner->requests_at(*where) * this->inner->unheard_factor_when_filling(routers) <
+    return this->inner->requests_at(*where) *
+               this->inner->extrapolation_factor_when_filling(routers) <
            this->inner->settings.concentrated_per_slot * where->capacity();
 }
 
@@ -419,7 +422,7 @@
     placement wanted;
     wanted.version_or_service = version;
     wanted.concentrated = true;
-    const endpoint* where = this->inner->packed_on(wanted, now);
+    const endpoint* where = this->inner->concentration_endpoint(wanted, now);
     return where == nullptr ? 0.0 : this->inner->requests_at(*where);
 }
 
--- a/decision/src/peer_loads.cpp
+++ b/decision/src/peer_loads.cpp
@@ -5,45 +5,45 @@
 
 namespace pearhaven::decision {
 
-void peer_loads::on_told(const std::string& router, std::vector<endpoint_load> loads, instant now)
+void peer_loads::on_report(const std::string& router, std::vector<endpoint_load> loads, instant now)
 {
-    auto& said = this->words[router];
-    this->add(said, -1);
-    said = {std::move(loads), now};
-    this->add(said, 1);
+    auto& report = this->reports[router];
+    this->add(report, -1);
+    report = {std::move(loads), now};
+    this->add(report, 1);
 }
 
 void peer_loads::expire(instant now, duration lifetime)
 {
-    for (auto at = this->words.begin(); at != this->words.end();) {
-        if (now - at->second.heard <= lifetime) {
+    for (auto at = this->reports.begin(); at != this->reports.end();) {
+        if (now - at->second.received <= lifetime) {
             ++at;
             continue;
         }
         this->add(at->second, -1);
-        at = this->words.erase(at);
+        at = this->reports.erase(at);
     }
 }
 
-void peer_loads::add(const word& said, int sign)
+void peer_loads::add(const peer_report& report, int sign)
 {
-    for (const auto& load : said.loads) {
-        auto& lives = this->sums[load.address];
-        const auto is_same = [&load](const life_sum& one) {
+    for (const auto& load : report.loads) {
+        auto& incarnations = this->sums[load.address];
+        const auto is_same = [&load](const incarnation_sum& one) {
             return one.incarnation == load.incarnation;
         };
-        auto life = std::find_if(lives.begin(), lives.end(), is_same);
-        if (life == lives.end()) {
-            life = lives.insert(life, {load.incarnation, {}});
+        auto found_sum = std::find_if(incarnations.begin(), incarnations.end(), is_same);
+        if (found_sum == incarnations.end()) {
+            found_sum = incarnations.insert(found_sum, {load.incarnation, {}});
         }
-        auto& total = life->total;
+        auto& total = found_sum->total;
         total.requests += sign * static_cast<std::int64_t>(load.requests);
         total.writing += sign * static_cast<std::int64_t>(load.writing);
         total.work = std::max(0.0, total.work + sign * load.work);
         if (total.requests <= 0) {
-            lives.erase(life);
+            incarnations.erase(found_sum);
         }
-        if (lives.empty()) {
+        if (incarnations.empty()) {
             this->sums.erase(load.address);
         }
     }
@@ -55,11 +55,11 @@
     if (found == this->sums.end()) {
         return {};
     }
-    const auto& lives = found->second;
-    const auto life = std::find_if(lives.begin(), lives.end(), [&where](const life_sum& one) {
-        return one.incarnation == where.incarnation;
-    });
-    return life == lives.end() ? sum() : life->total;
+    const auto& incarnations = found->second;
+    const auto found_sum = std::find_if(
+        incarnations.begin(), incarnations.end(),
+        [&where](const incarnation_sum& one) { return one.incarnation == where.incarnation; });
+    return found_sum == incarnations.end() ? sum() : found_sum->total;
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/peer_loads.hpp
+++ b/decision/src/peer_loads.hpp
@@ -11,9 +11,9 @@
 
 namespace pearhaven::decision {
 
-// What the other routers have said that they hold at the endpoints, added up. Each router's newest
-// word replaces its earlier one; a router that falls silent counts for nothing after a while, since
-// its callers have gone elsewhere or its work has ended unheard.
+// What the other routers have report that they hold at the endpoints, added up. Each router's
+// newest word replaces its earlier one; a router that falls silent counts for nothing after a
+// while, since its callers have gone elsewhere or its work has ended unheard.
 class peer_loads {
 public:
     struct sum {
@@ -23,33 +23,33 @@
     };
 
     // All that the router holds; what it does not name it does not hold.
-    void on_told(const std::string& router, std::vector<endpoint_load> loads, instant now);
+    void on_report(const std::string& router, std::vector<endpoint_load> loads, instant now);
 
-    // Drops the words older than the lifetime.
+    // Drops the reports older than the lifetime.
     void expire(instant now, duration lifetime);
 
-    // Routers that have said something of late.
-    [[nodiscard]] std::size_t routers() const { return this->words.size(); }
+    // Routers that have report something of late.
+    [[nodiscard]] std::size_t routers() const { return this->reports.size(); }
 
     // Only at this incarnation: what was sent to an earlier one ended with it.
     [[nodiscard]] sum of(const endpoint_host& where) const;
 
 private:
-    struct word {
+    struct peer_report {
         std::vector<endpoint_load> loads;
-        instant heard;
+        instant received;
     };
 
-    struct life_sum {
+    struct incarnation_sum {
         std::uint64_t incarnation = 0;
         sum total;
     };
 
     // `sign` is 1 to count the word in, -1 to take it out again.
-    void add(const word& said, int sign);
+    void add(const peer_report& report, int sign);
 
-    std::map<std::string, word> words;                           // by router
-    std::unordered_map<std::string, std::vector<life_sum>> sums; // by address
+    std::map<std::string, peer_report> reports;                         // by router
+    std::unordered_map<std::string, std::vector<incarnation_sum>> sums; // by address
 };
 
 } // namespace pearhaven::decision
--- a/decision/src/prompt_map.cpp
+++ b/decision/src/prompt_map.cpp
@@ -9,28 +9,28 @@
 // An engine with memory for half a million tokens that begins three requests of 8,000 tokens a
 // second fills it in some twenty seconds. Up to the first time a part is as good as held, from the
 // second on as good as gone.
-constexpr duration surely_held = std::chrono::seconds(10);
-constexpr duration surely_gone = std::chrono::seconds(30);
+constexpr duration certainly_cached_for = std::chrono::seconds(10);
+constexpr duration certainly_evicted_after = std::chrono::seconds(30);
 
 constexpr duration expiry_period = std::chrono::seconds(1);
 
 // Parts that are remembered. Those of 10,000 engines with 100 each would take 50 MB; a router's
 // callers use far fewer within half a minute.
-constexpr std::size_t most_parts = 50'000;
+constexpr std::size_t max_parts = 50'000;
 
 } // namespace
 
-void prompt_map::note(const endpoint_life& where, std::uint64_t part, instant now)
+void prompt_map::record(const endpoint_incarnation& where, std::uint64_t part, instant now)
 {
-    auto found = this->places.find(part);
-    if (found == this->places.end()) {
-        if (this->places.size() >= most_parts) {
+    auto found = this->locations.find(part);
+    if (found == this->locations.end()) {
+        if (this->locations.size() >= max_parts) {
             return;
         }
-        found = this->places.try_emplace(part).first;
+        found = this->locations.try_emplace(part).first;
     }
     auto& known = found->second;
-    const auto same = std::find_if(known.begin(), known.end(), [&where](const place& one) {
+    const auto same = std::find_if(known.begin(), known.end(), [&where](const location& one) {
         return one.where.identity == where.identity;
     });
     if (same == known.end()) {
@@ -40,20 +40,20 @@
     }
 }
 
-double prompt_map::held(const endpoint_life& where, std::uint64_t part, instant now) const
+double prompt_map::cached(const endpoint_incarnation& where, std::uint64_t part, instant now) const
 {
-    const auto found = this->places.find(part);
-    if (found == this->places.end()) {
+    const auto found = this->locations.find(part);
+    if (found == this->locations.end()) {
         return 0.0;
     }
     const auto& known = found->second;
     const auto same = std::find_if(known.begin(), known.end(),
-                                   [&where](const place& one) { return one.where == where; });
+                                   [&where](const location& one) { return one.where == where; });
     if (same == known.end()) {
         return 0.0;
     }
-    const std::chrono::duration<double> left = surely_gone - (now - same->used);
-    const std::chrono::duration<double> span = surely_gone - surely_held;
+    const std::chrono::duration<double> left = certainly_evicted_after - (now - same->used);
+    const std::chrono::duration<double> span = certainly_evicted_after - certainly_cached_for;
     return std::clamp(left / span, 0.0, 1.0);
 }
 
@@ -63,10 +63,11 @@
         return;
     }
     this->expired_at = now;
-    for (auto at = this->places.begin(); at != this->places.end();) {
-        std::erase_if(at->second,
-                      [now](const place& one) { return now - one.used >= surely_gone; });
-        at = at->second.empty() ? this->places.erase(at) : std::next(at);
+    for (auto at = this->locations.begin(); at != this->locations.end();) {
+        std::erase_if(at->second, [now](const location& one) {
+            return now - one.used >= certainly_evicted_after;
+        });
+        at = at->second.empty() ? this->locations.erase(at) : std::next(at);
     }
 }
 
--- a/decision/src/rollout_exposure.cpp
+++ b/decision/src/rollout_exposure.cpp
@@ -43,8 +43,8 @@
     if (step < plan.step_callers.size()) {
         return plan.step_callers[step];
     }
-    const std::uint64_t beyond = step - plan.step_callers.size() + 1;
-    return plan.step_callers.back() * (beyond + 1);
+    const std::uint64_t extra_steps = step - plan.step_callers.size() + 1;
+    return plan.step_callers.back() * (extra_steps + 1);
 }
 
 std::uint64_t share_of(std::uint64_t callers, std::size_t rank, std::size_t size)
@@ -67,20 +67,20 @@
     for (const auto& [name, plan] : current.rollouts()) {
         auto& known = next[name];
         const auto before = this->rollouts.find(name);
-        const bool goes_on = before != this->rollouts.end() &&
-                             before->second.plan.run == plan.run &&
-                             before->second.plan.to == plan.to;
-        if (goes_on) {
+        const bool is_same_attempt = before != this->rollouts.end() &&
+                                     before->second.plan.run == plan.run &&
+                                     before->second.plan.to == plan.to;
+        if (is_same_attempt) {
             known = before->second;
             // Each part loads the endpoints otherwise than the one before. What was good there says
             // nothing of this one, and would only weigh against what fails now.
-            const bool same_part =
+            const bool same_state =
                 known.plan.state == plan.state && known.plan.fills_endpoint == plan.fills_endpoint;
-            known.seen = same_part ? known.seen : run_counts();
-            known.speed = same_part ? known.speed : run_counts();
-            this->take_up(known, plan, granted_callers(known.plan, known.plan.step));
+            known.seen = same_state ? known.seen : run_counts();
+            known.speed = same_state ? known.speed : run_counts();
+            this->add_grant(known, plan, granted_callers(known.plan, known.plan.step));
         } else if (this->has_configuration) {
-            this->take_up(known, plan, 0);
+            this->add_grant(known, plan, 0);
         }
         known.plan = plan;
     }
@@ -90,7 +90,7 @@
 
 // The size that is written in the configuration is the same for all. A router that has just started
 // and knows few of the others yet would, by its own count alone, take a part that is too large.
-void rollout_exposure::take_up(tracked& known, const rollout& plan, std::uint64_t before)
+void rollout_exposure::add_grant(tracked& known, const rollout& plan, std::uint64_t before)
 {
     const auto granted = granted_callers(plan, plan.step);
     if (plan.run == 0 || granted <= before) {
@@ -102,12 +102,13 @@
 
 bool rollout_exposure::is_tripped(const tracked& known) const
 {
-    const auto told = this->told_trips.find(known.plan.to);
-    return known.tripped_here || (told != this->told_trips.end() && told->second == known.plan.run);
+    const auto peer_trip = this->peer_trips.find(known.plan.to);
+    return known.tripped_here ||
+           (peer_trip != this->peer_trips.end() && peer_trip->second == known.plan.run);
 }
 
-bool rollout_exposure::may_move(const tracked& known, const rollout_context& note,
-                                const version_question& question) const
+bool rollout_exposure::may_use_new_version(const tracked& known, const rollout_context& context,
+                                           const version_question& question) const
 {
     const auto session_key = question.session_key;
     const auto& plan = known.plan;
@@ -119,16 +120,16 @@
     if (plan.state == rollout_state::done) {
         return true;
     }
-    if (contains(note.lost_on, plan.to)) {
+    if (contains(context.lost_on, plan.to)) {
         return false;
     }
     // A request that has begun on another version stays there. Its caller may have a part of the
     // answer already, and a bad version would break that off for good.
-    if (!note.ran_on.empty() && note.ran_on != plan.to) {
+    if (!context.ran_on.empty() && context.ran_on != plan.to) {
         return false;
     }
     const bool is_running = plan.state == rollout_state::running && plan.run != 0;
-    if (plan.fills_endpoint && note.fills_endpoint &&
+    if (plan.fills_endpoint && context.fills_endpoint &&
         is_sampled(session_key != 0 ? session_key : question.random, plan.fill_ppm)) {
         return is_running;
     }
@@ -137,16 +138,16 @@
     if (session_key != 0) {
         return is_running && is_sampled(session_key, plan.session_ppm);
     }
-    const bool has_grant = note.exposed_by == plan.name || known.spent < known.granted;
+    const bool has_grant = context.exposed_by == plan.name || known.spent < known.granted;
     return is_running && !plan.paused && has_grant;
 }
 
-const rollout_exposure::tracked* rollout_exposure::find_move(const std::string& from,
-                                                             const rollout_context& note,
-                                                             const version_question& question) const
+const rollout_exposure::tracked*
+rollout_exposure::find_rollout(const std::string& from, const rollout_context& context,
+                               const version_question& question) const
 {
     for (const auto& [name, known] : this->rollouts) {
-        if (known.plan.from == from && this->may_move(known, note, question)) {
+        if (known.plan.from == from && this->may_use_new_version(known, context, question)) {
             return &known;
         }
     }
@@ -154,7 +155,7 @@
 }
 
 rollout_choice rollout_exposure::choose(const version_question& question,
-                                        const rollout_context& note) const
+                                        const rollout_context& context) const
 {
     if (this->rollouts.empty() || question.bound || !is_model(*question.current, question.asked)) {
         return {choose_version(question), {}};
@@ -165,7 +166,8 @@
             narrower.excluded.push_back(known.plan.to);
         }
     }
-    narrower.excluded.insert(narrower.excluded.end(), note.lost_on.begin(), note.lost_on.end());
+    narrower.excluded.insert(narrower.excluded.end(), context.lost_on.begin(),
+                             context.lost_on.end());
     auto answer = choose_version(narrower);
     if (answer.refusal != version_refusal::none) {
         // The team may use nothing but new versions: there is nothing to decide between.
@@ -173,13 +175,14 @@
     }
     rollout_choice chosen{std::move(answer), {}};
     for (std::size_t left = this->rollouts.size(); left > 0; --left) {
-        const auto* move = this->find_move(chosen.answer.version, note, question);
-        if (move == nullptr || !may_use(question, move->plan.to)) {
+        const auto* found = this->find_rollout(chosen.answer.version, context, question);
+        if (found == nullptr || !may_use(question, found->plan.to)) {
             break;
         }
-        const bool by_grant = move->plan.state == rollout_state::running;
-        chosen.answer.version = move->plan.to;
-        chosen.exposed_by = by_grant && question.session_key == 0 ? move->plan.name : std::string();
+        const bool by_grant = found->plan.state == rollout_state::running;
+        chosen.answer.version = found->plan.to;
+        chosen.exposed_by =
+            by_grant && question.session_key == 0 ? found->plan.name : std::string();
     }
     return chosen;
 }
@@ -237,8 +240,8 @@
 
 void rollout_exposure::on_peer_trip(const std::string& version, std::uint64_t run)
 {
-    auto& told = this->told_trips[version];
-    told = std::max(told, run);
+    auto& peer_trip = this->peer_trips[version];
+    peer_trip = std::max(peer_trip, run);
 }
 
 bool rollout_exposure::watches(const std::string& version) const
--- a/decision/src/rollout_judge.cpp
+++ b/decision/src/rollout_judge.cpp
@@ -12,15 +12,15 @@
 constexpr double false_alarm_of_holder = 0.005;
 
 // What was told of a step must have had time to come in before it counts as lost.
-constexpr duration least_before_renewal = std::chrono::seconds(10);
+constexpr duration min_time_before_renewal = std::chrono::seconds(10);
 
-test_verdict verdict_on(const rollout& plan, const rollout_fleet_evidence& sight)
+test_verdict verdict_on(const rollout& plan, const rollout_fleet_evidence& evidence)
 {
     error_guard guard;
     guard.base_rate = plan.base_error_rate;
     guard.max_rate = plan.max_error_rate;
     guard.false_alarm = false_alarm_of_holder;
-    return sequential_test(guard).judge(sight.seen);
+    return sequential_test(guard).judge(evidence.seen);
 }
 
 } // namespace
@@ -31,13 +31,13 @@
     const bool is_known = found != this->steps.end() && found->second.run == plan.run &&
                           found->second.step == plan.step;
     if (!is_known) {
-        this->steps.insert_or_assign(plan.name, seen_step{plan.run, plan.step, now});
+        this->steps.insert_or_assign(plan.name, observed_step{plan.run, plan.step, now});
         return duration::zero();
     }
     return now - found->second.since;
 }
 
-rollout_move rollout_judge::judge(const rollout& plan, const rollout_fleet_evidence& sight,
+rollout_move rollout_judge::judge(const rollout& plan, const rollout_fleet_evidence& evidence,
                                   instant now)
 {
     const auto on_step = this->time_on_step(plan, now);
@@ -45,17 +45,17 @@
         return rollout_move::stay;
     }
     if (plan.state == rollout_state::done) {
-        return sight.tripped ? rollout_move::roll_back : rollout_move::stay;
+        return evidence.tripped ? rollout_move::roll_back : rollout_move::stay;
     }
     if (plan.run == 0) {
         return plan.paused ? rollout_move::stay : rollout_move::begin;
     }
-    const auto verdict = verdict_on(plan, sight);
-    if (verdict == test_verdict::rejected || sight.tripped) {
+    const auto verdict = verdict_on(plan, evidence);
+    if (verdict == test_verdict::rejected || evidence.tripped) {
         return rollout_move::roll_back;
     }
-    const duration shortest_stay = std::chrono::seconds(plan.step_seconds);
-    if (plan.paused || on_step < shortest_stay) {
+    const duration min_time_on_step = std::chrono::seconds(plan.step_seconds);
+    if (plan.paused || on_step < min_time_on_step) {
         return rollout_move::stay;
     }
     const bool accepted = verdict == test_verdict::accepted;
@@ -63,11 +63,11 @@
     if (accepted && is_last) {
         return rollout_move::finish;
     }
-    if (accepted || sight.seen.total() * 2 >= granted_callers(plan, plan.step)) {
+    if (accepted || evidence.seen.total() * 2 >= granted_callers(plan, plan.step)) {
         return rollout_move::advance;
     }
-    const bool is_lost = sight.left == 0 && on_step >= least_before_renewal;
-    return is_lost ? rollout_move::renew : rollout_move::stay;
+    const bool grant_is_lost = evidence.left == 0 && on_step >= min_time_before_renewal;
+    return grant_is_lost ? rollout_move::renew : rollout_move::stay;
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/session_token.cpp
+++ b/decision/src/session_token.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 // Layout: MARK.KEY.ID.TEAM.MODEL.VERSION.CODE, each part escaped; the code covers all before it.
-constexpr std::string_view format_mark = "s1";
+constexpr std::string_view format_version = "s1";
 constexpr char separator = '.';
 constexpr std::size_t part_count = 7;
-constexpr std::size_t longest_token = 1024;
+constexpr std::size_t max_token_size = 1024;
 constexpr std::string_view hexadecimal = "0123456789abcdef";
 
-bool stands_for_itself(char symbol)
+bool is_unreserved(char symbol)
 {
     return (symbol >= 'a' && symbol <= 'z') || (symbol >= 'A' && symbol <= 'Z') ||
            (symbol >= '0' && symbol <= '9') || symbol == '-' || symbol == '_';
@@ -25,7 +25,7 @@
     std::string escaped;
     escaped.reserve(plain.size());
     for (const char symbol : plain) {
-        if (stands_for_itself(symbol)) {
+        if (is_unreserved(symbol)) {
             escaped.push_back(symbol);
             continue;
         }
@@ -99,7 +99,7 @@
 std::string seal_session(const session& bound, std::uint32_t key_number,
                          const token_authenticator& keys)
 {
-    std::string token(format_mark);
+    std::string token(format_version);
     for (const auto& field :
          {std::to_string(key_number), bound.id, bound.team, bound.model, bound.version}) {
         token.push_back(separator);
@@ -115,11 +115,11 @@
                                     const std::vector<std::uint32_t>& key_numbers,
                                     const token_authenticator& keys)
 {
-    if (token.size() > longest_token) {
+    if (token.size() > max_token_size) {
         return std::nullopt;
     }
     const auto parts = split(token);
-    if (!parts || parts->front() != format_mark) {
+    if (!parts || parts->front() != format_version) {
         return std::nullopt;
     }
     const auto key_number = parse_key_number((*parts)[1]);
--- a/decision/src/size_choice.cpp
+++ b/decision/src/size_choice.cpp
@@ -12,8 +12,8 @@
 
 std::uint32_t next_size(const size_question& question, const size_choice_settings& settings)
 {
-    const double least = settings.min_confidence - settings.confidence_step * question.priority;
-    if (question.size + 1 >= question.sizes || question.confidence >= least) {
+    const double threshold = settings.min_confidence - settings.confidence_step * question.priority;
+    if (question.size + 1 >= question.sizes || question.confidence >= threshold) {
         return question.size;
     }
     const auto latest = static_cast<double>(question.objective.count()) * settings.latest_change;
--- a/decision/src/speed_reference.cpp
+++ b/decision/src/speed_reference.cpp
@@ -8,7 +8,7 @@
 // answers.
 constexpr double gain = 0.1;
 
-constexpr std::uint32_t least_samples = 8;
+constexpr std::uint32_t min_samples = 8;
 
 } // namespace
 
@@ -30,12 +30,12 @@
                                              duration seen) const
 {
     const auto known = this->estimates.find({model, size});
-    if (known == this->estimates.end() || known->second.samples < least_samples) {
+    if (known == this->estimates.end() || known->second.samples < min_samples) {
         return std::nullopt;
     }
     const auto noise = static_cast<double>(this->settings.noise.count());
-    const double most = known->second.time * this->settings.factor + noise;
-    return static_cast<double>(seen.count()) > most;
+    const double limit = known->second.time * this->settings.factor + noise;
+    return static_cast<double>(seen.count()) > limit;
 }
 
 } // namespace pearhaven::decision
--- a/decision/src/version_choice.cpp
+++ b/decision/src/version_choice.cpp
@@ -24,8 +24,8 @@
 }
 
 // Why none of these versions takes the caller's work.
-version_refusal explain(const version_question& question,
-                        const std::vector<const version*>& candidates)
+version_refusal refusal_reason(const version_question& question,
+                               const std::vector<const version*>& candidates)
 {
     if (candidates.empty()) {
         return version_refusal::unknown_model;
@@ -56,14 +56,14 @@
 }
 
 // The version that takes an excluded version's traffic; null where none does.
-const version* standing_in_for(const version_question& question, const version& excluded)
+const version* fallback_for(const version_question& question, const version& excluded)
 {
     // Fallbacks may name each other in a circle.
-    std::size_t steps_left = question.current->versions().size();
+    std::size_t hops_left = question.current->versions().size();
     const version* candidate = &excluded;
-    while (candidate != nullptr && is_excluded(question, candidate->name) && steps_left > 0) {
+    while (candidate != nullptr && is_excluded(question, candidate->name) && hops_left > 0) {
         candidate = question.current->find_version(candidate->fallback);
-        --steps_left;
+        --hops_left;
     }
     return candidate != nullptr && takes_work(question, *candidate) ? candidate : nullptr;
 }
@@ -81,7 +81,7 @@
         if (!question.current->allows(*question.caller, *candidate)) {
             continue;
         }
-        const version* target = standing_in_for(question, *candidate);
+        const version* target = fallback_for(question, *candidate);
         if (target != nullptr && candidate->traffic > 0) {
             shares.push_back({target, candidate->traffic});
         }
@@ -110,7 +110,7 @@
 {
     const auto shares = traffic_shares(question, candidates);
     if (shares.empty()) {
-        return refuse(explain(question, candidates));
+        return refuse(refusal_reason(question, candidates));
     }
     return draw(shares, question.random);
 }
@@ -120,7 +120,7 @@
     if (takes_work(question, named)) {
         return {named.name, version_refusal::none};
     }
-    return refuse(explain(question, {&named}));
+    return refuse(refusal_reason(question, {&named}));
 }
 
 std::vector<const version*> versions_of_cascade(const configuration& current, const cascade& policy)
@@ -145,7 +145,7 @@
             return {candidate->name, version_refusal::none};
         }
     }
-    return refuse(explain(question, candidates));
+    return refuse(refusal_reason(question, candidates));
 }
 
 // Whether the name asked for covers the version that the session is bound to.
@@ -160,7 +160,7 @@
            (policy->second.cheap == candidate.name || policy->second.costly == candidate.name);
 }
 
-version_answer keep_bound(const version_question& question, const session& bound)
+version_answer choose_bound(const version_question& question, const session& bound)
 {
     const version* kept = question.current->find_version(bound.version);
     if (kept == nullptr) {
@@ -184,7 +184,7 @@
 version_answer choose_version(const version_question& question)
 {
     if (question.bound) {
-        return keep_bound(question, *question.bound);
+        return choose_bound(question, *question.bound);
     }
     const auto candidates = versions_of_model(*question.current, question.asked);
     if (!candidates.empty()) {
