--- a/decision/include/pearhaven/decision/mix.hpp
+++ b/decision/include/pearhaven/decision/mix.hpp
@@ -5,8 +5,8 @@
 
 namespace pearhaven::decision {
 
-// Spreads the bits of a number over all of them, the same in every process: for draws that all
-// routers are to agree on, or that a test is to repeat.
+// A 64-bit mixing function with the same result in every process, for pseudo-random draws on which
+// all routers must agree or which a test must repeat.
 constexpr std::uint64_t mix(std::uint64_t value)
 {
     value += 0x9E3779B97F4A7C15U;
--- a/decision/include/pearhaven/decision/rollout_judge.hpp
+++ b/decision/include/pearhaven/decision/rollout_judge.hpp
@@ -11,37 +11,36 @@
 
 namespace pearhaven::decision {
 
-// What the fleet has told of one attempt at a roll-out.
+// The fleet's combined evidence on one attempt at a rollout.
 struct rollout_fleet_evidence {
     run_counts seen;
-    std::uint64_t left = 0; // callers that live routers may yet send to the new version
-    bool tripped = false;   // some router's own evidence has tripped it
+    std::uint64_t left = 0; // callers that live routers may still send to the new version
+    bool tripped = false;   // tripped by some router's own evidence
 };
 
-// What the holder of the duty does with a roll-out next.
+// The next action of the lease holder on a rollout.
 enum class rollout_move : std::uint8_t {
     stay,
-    begin,     // name the attempt, and so grant the step's callers
-    renew,     // the same again: too much of the grant was lost with routers that died
+    begin,     // assign an attempt number and grant the step's callers
+    renew,     // repeat the step: terminated routers held too much of the grant
     advance,   // to the next step
     finish,    // all new work to the new version
-    roll_back, // and withdraw the new version
+    roll_back, // withdraw the new version
 };
 
-// Judges roll-outs for the one router that holds the duty. All that has to survive it stands in the
-// configuration; here is only how long this holder has seen each step, so that a new holder takes
-// the roll-out up at its recorded step and at worst stays on it longer.
-//
-// A step that cannot decide the test (at the default guards it takes 112 good answers to accept)
-// still leads to the next when half of its callers have been answered and the test has not
-// rejected: had the version been bad outright, it would have. Only an accepted version is finished;
-// until the test decides, the steps beyond the last each grant the last number of callers again.
+// Decides on rollouts in the one router that holds the lease for it. All persistent state is in the
+// configuration. This class keeps only how long this holder has seen each step, so a new holder
+// resumes at the recorded step and at worst stays on it longer.
+// A step that cannot decide the test (with the default guards, acceptance takes 112 good answers)
+// still advances when half of its callers have been answered and the test has not rejected: a
+// clearly bad version would have been rejected by then. Only an accepted version is finished; until
+// then, each step beyond the last grants the last number of callers again.
 class rollout_judge {
 public:
     [[nodiscard]] rollout_move judge(const rollout& plan, const rollout_fleet_evidence& evidence,
                                      instant now);
 
-    // The duty is lost: another goes on.
+    // Called when the lease is lost; another router continues.
     void forget() { this->steps.clear(); }
 
 private:
--- a/decision/include/pearhaven/decision/session_token.hpp
+++ b/decision/include/pearhaven/decision/session_token.hpp
@@ -9,12 +9,12 @@
 
 namespace pearhaven::decision {
 
-// Port to a keyed message authentication code. Both functions are pure for a given key.
+// Interface to a keyed message authentication code. Both functions are pure for a given key.
 class token_authenticator {
 public:
     virtual ~token_authenticator() = default;
 
-    // The code of the text under the numbered key.
+    // Returns the code of the text under the numbered key.
     [[nodiscard]] virtual std::string seal(std::uint32_t key_number,
                                            std::string_view text) const = 0;
 
@@ -23,8 +23,8 @@
                                       std::string_view code) const = 0;
 };
 
-// What a session is bound to. It travels with the caller, so that no router keeps a table of
-// sessions and any router can continue one after any restart.
+// The version that a session is bound to. The caller carries it in a token, so routers keep no
+// table of sessions and any router can continue a session after a restart.
 struct session {
     std::string id;
     std::string team;
@@ -34,12 +34,13 @@
     friend bool operator==(const session&, const session&) = default;
 };
 
-// The caller's token: readable fields with a code over them, made under the newest key.
+// Returns the caller's token: readable fields followed by their authentication code, made with the
+// newest key.
 std::string seal_session(const session& bound, std::uint32_t key_number,
                          const token_authenticator& keys);
 
-// Nothing when the token is malformed, forged, made under a key that is not listed, or over 1,024
-// bytes.
+// Returns nothing if the token is malformed, forged, made with a key that is not listed, or longer
+// than 1,024 bytes.
 std::optional<session> open_session(std::string_view token,
                                     const std::vector<std::uint32_t>& key_numbers,
                                     const token_authenticator& keys);
--- a/decision/include/pearhaven/decision/speed_reference.hpp
+++ b/decision/include/pearhaven/decision/speed_reference.hpp
@@ -12,27 +12,27 @@
 namespace pearhaven::decision {
 
 struct speed_reference_settings {
-    // Of the answers of a model, the part that keeps to the reference.
+    // Quantile of a model's answer times that is the reference.
     double share_within = 0.8;
 
-    // Times the reference from which an answer counts as slow, and what is allowed on top: a new
-    // connection or a busy host adds so much to any time. Without that, versions that answer within
-    // a millisecond were told apart by noise, and a good one was rolled back.
+    // An answer is slow above the reference times `factor` plus `noise`. The noise covers a new
+    // connection or a busy host: without it, versions that answer within a millisecond differed
+    // only by noise, and a good one was rolled back.
     double factor = 1.0;
     duration noise = std::chrono::milliseconds(10);
 };
 
-// A time of a model's answers that a stated part of them keeps to, as a measure for another version
-// of it. Means would not do: waits behind long prompts stretch some answers tenfold, and a version
-// that is slow for half of its answers moves a mean less than such a wait does.
+// Tracks a quantile of the answer times of a model, as a reference for another version of it. A
+// mean is unsuitable: waits behind long prompts stretch some answers tenfold, which moves a mean
+// more than a version that is slow for half of its answers.
 class speed_reference {
 public:
     explicit speed_reference(const speed_reference_settings& chosen = {}) : settings(chosen) {}
 
-    // An answer of a version that no roll-out watches.
+    // Adds the time of an answer of a version that no rollout monitors.
     void learn(const std::string& model, std::uint32_t size, duration time);
 
-    // Whether an answer took longer; nothing while too little is known.
+    // Whether an answer with this time is slow; nothing while there are too few samples.
     [[nodiscard]] std::optional<bool> is_slow(const std::string& model, std::uint32_t size,
                                               duration time) const;
 
--- a/decision/include/pearhaven/decision/traffic_route.hpp
+++ b/decision/include/pearhaven/decision/traffic_route.hpp
@@ -16,12 +16,12 @@
 
 namespace pearhaven::decision {
 
-// What may be done with a request whose run was lost.
+// How a request whose run was lost may be retried.
 enum class work_kind : std::uint8_t {
-    idempotent,       // it may run again
-    at_most_once,     // it may not
-    stream,           // it may not, and its answer comes in pieces
-    resumable_stream, // another endpoint may go on after the last whole piece
+    idempotent,       // may run again
+    at_most_once,     // must not run again
+    stream,           // must not run again; the answer comes in chunks
+    resumable_stream, // another endpoint may resume after the last complete chunk
 };
 
 [[nodiscard]] constexpr bool is_streamed(work_kind kind)
@@ -34,7 +34,7 @@
     return kind == work_kind::idempotent || kind == work_kind::resumable_stream;
 }
 
-// One of the models or services among which a route's requests are divided.
+// One of the models or services that share a route's requests.
 struct route_target {
     std::string name;
     std::uint32_t weight = 1; // share of the requests, relative to the other targets
@@ -42,40 +42,39 @@
     friend bool operator==(const route_target&, const route_target&) = default;
 };
 
-// Where requests for a host and a path go, and what is wanted of their answers.
+// The targets of requests for a host and path prefix, and the requirements on their answers.
 struct traffic_route {
     std::string name;
     std::string host;        // without a port, in lower case
     std::string path_prefix; // begins and ends with a slash
     std::vector<route_target> targets;
     work_kind kind = work_kind::at_most_once;
-    std::uint32_t max_attempts = 1;       // endpoints that one request may be sent to
+    std::uint32_t max_attempts = 1;       // per request
     std::uint32_t priority = 5;           // 0 is most urgent
-    duration timeout{};                   // longest wait that the operator wants; zero: no bound
-    duration objective{};                 // until the answer, or a stream's first piece
-    duration longest_pause{};             // between two pieces of a stream
-    bool is_public = false;               // needs no key
+    duration timeout{};                   // max total wait; zero: unlimited
+    duration objective{};                 // until the answer, or a stream's first chunk
+    duration longest_pause{};             // between two chunks of a stream
+    bool is_public = false;               // requires no API key
     std::vector<std::string> model_sizes; // smallest first; empty: the request names its model
 
     friend bool operator==(const traffic_route&, const traffic_route&) = default;
 };
 
-// Finds the route of a request: among those of its host, the one with the longest prefix that
-// begins the path. Immutable once made; shared by count among the configurations that state the
-// same routes.
+// Finds the route of a request: of the routes of its host, the one with the longest prefix of the
+// path. Immutable and reference-counted; configurations with the same routes share one table.
 class route_table : public boost::intrusive_ref_counter<route_table> {
 public:
     route_table() = default;
 
-    // Of routes with the same name the last one stays.
+    // Of several routes with the same name, the last one is kept.
     explicit route_table(std::vector<traffic_route> all);
 
     route_table(const route_table&) = delete;
     route_table& operator=(const route_table&) = delete;
     ~route_table() = default;
 
-    // Null where there is none. `host` may carry a port, `path` a query. The cost grows with the
-    // length of the path, not with the number of routes.
+    // Returns null if there is none. `host` may contain a port, `path` a query. The cost grows with
+    // the length of the path, not with the number of routes.
     [[nodiscard]] const traffic_route* find(std::string_view host, std::string_view path) const;
 
     [[nodiscard]] const std::map<std::string, traffic_route>& by_name() const
@@ -89,7 +88,7 @@
     }
 
 private:
-    // Hashes and compares host names without regard to case.
+    // Host names are case-insensitive.
     struct host_hash {
         using is_transparent = void;
         std::size_t operator()(std::string_view host) const;
@@ -99,10 +98,10 @@
         bool operator()(std::string_view left, std::string_view right) const;
     };
 
-    // The routes of one host. What stands here points into `routes`.
+    // The routes of one host. The pointers refer to elements of `routes`.
     struct host_routes {
         std::unordered_map<std::string_view, const traffic_route*> by_prefix;
-        std::vector<std::size_t> lengths; // of the prefixes, each once, longest first
+        std::vector<std::size_t> lengths; // distinct prefix lengths, longest first
     };
 
     void index(const traffic_route& one);
@@ -113,7 +112,7 @@
 
 using route_table_ptr = boost::intrusive_ptr<const route_table>;
 
-// The target for a request: targets get their weight's share of all random numbers.
+// Draws a target with a probability proportional to its weight.
 [[nodiscard]] const route_target* draw_target(const traffic_route& from, std::uint64_t random);
 
 } // namespace pearhaven::decision
--- a/decision/include/pearhaven/decision/version_choice.hpp
+++ b/decision/include/pearhaven/decision/version_choice.hpp
@@ -11,15 +11,15 @@
 
 namespace pearhaven::decision {
 
-// Why a request got no version.
+// Why no version was chosen for a request.
 enum class version_refusal : std::uint8_t {
     none,
-    unknown_model,               // nothing has the name that was asked for
-    not_allowed,                 // the team's selector matches none of the versions
-    withdrawn,                   // what the team may use is withdrawn
-    session_version_withdrawn,   // final: the session must be started anew
-    session_version_not_allowed, // final: the session must be started anew
-    no_version,                  // allowed versions exist, but none takes work at the moment
+    unknown_model,               // no model, version or cascade has the requested name
+    not_allowed,                 // the team's selector matches no version
+    withdrawn,                   // all versions that the team may use are withdrawn
+    session_version_withdrawn,   // final: the caller must start a new session
+    session_version_not_allowed, // final: the caller must start a new session
+    no_version,                  // allowed versions exist, but none accepts work now
 };
 
 struct version_question {
@@ -27,23 +27,23 @@
     const team* caller = nullptr;
     std::string asked; // a model, version or cascade
     std::optional<session> bound;
-    std::uint64_t session_key = 0; // names a session that carries no token; 0: none
+    std::uint64_t session_key = 0; // identifies a session without a token; 0: none
     std::uint64_t random = 0;
-    std::vector<std::string> excluded; // versions that take no work at the moment
+    std::vector<std::string> excluded; // versions that accept no work now
 };
 
 struct version_answer {
-    std::string version; // empty with a refusal
+    std::string version; // empty if refused
     version_refusal refusal = version_refusal::none;
 
     friend bool operator==(const version_answer&, const version_answer&) = default;
 };
 
-// The version that a request runs on. A model gives one of its allowed versions, drawn by their
-// `traffic`; the traffic of an excluded version goes to its fallback, where that is allowed. A
-// version asked for by name is itself taken or refused. A cascade gives its costly version, else
-// its cheap one. A bound session keeps its version or gets a final refusal, never another version;
-// on an excluded version it gets `no_version`.
+// Chooses the version for a request. For a model, an allowed version is drawn by `traffic`; an
+// excluded version's traffic goes to its fallback, if that is allowed. A version requested by name
+// is used or refused. For a cascade, the costly version is used if possible, otherwise the cheap
+// one. A bound session keeps its version or is finally refused, and never moves to another version;
+// if its version is excluded, the result is `no_version`.
 [[nodiscard]] version_answer choose_version(const version_question& question);
 
 } // namespace pearhaven::decision
--- a/decision/src/endpoint_choice.cpp
+++ b/decision/src/endpoint_choice.cpp
@@ -11,23 +11,24 @@
 
 namespace {
 
-// Of a subset, the part kept for other zones, so that work can leave a zone that is full or down.
+// One in this many places of a subset is reserved for other zones, so that work can leave a zone
+// that is full or down.
 constexpr std::size_t remote_subset_divisor = 4;
 
-// How likely the endpoints that rank first and second for a prefix have it, where this router has
-// heard of nobody that sent it there. In a large fleet it hears from few of the others, and all
-// send there first.
+// Assumed probability that the endpoints that rank first and second for a prefix have it cached, if
+// no request for it at that endpoint is known. In a large fleet a router gets reports from few
+// others, but all of them prefer these endpoints.
 constexpr double cached_probability_at_first = 0.6;
 constexpr double cached_probability_at_second = 0.3;
 
-// Part of its slots that an endpoint has taken once packed requests have begun to fill it. Ordinary
-// ones are spread, and leave each with less.
+// Share of its slots in use from which an endpoint counts as being filled by concentrated requests.
+// Ordinary requests are spread and keep each endpoint below it.
 constexpr double filling_threshold = 0.125;
 
-// How long a router keeps to its draw for a slot; covers the lag of most load reports.
+// How long a router's draw for a slot stays valid; covers the lag of most load reports.
 constexpr duration draw_period = std::chrono::seconds(1);
 
-// A number from 0 up to 1.
+// A number from 0 (inclusive) to 1 (exclusive).
 double unit_fraction(std::uint64_t random)
 {
     constexpr unsigned kept_bits = 53;
@@ -41,8 +42,8 @@
            where.health.is_ejected(now);
 }
 
-// This router's part of all that the endpoints hold. Without any work it counts as holding one
-// request, or it would never get in.
+// This router's share of all requests at the endpoints. At least one request is counted for it, or
+// a router without work would never get any in.
 double share_of_work(const std::vector<endpoint*>& subset, instant now,
                      const endpoint_table_settings& settings)
 {
@@ -55,8 +56,8 @@
     return own / all;
 }
 
-// The two endpoints that rank first for a prefix. All routers rank them alike, so that a prefix is
-// cached in few places.
+// The two endpoints that rank first for a prefix. All routers rank alike, so a prefix is cached in
+// few places.
 std::array<const endpoint*, 2> ranked_first(const std::vector<endpoint*>& subset,
                                             std::uint64_t prefix_hash)
 {
@@ -156,7 +157,7 @@
                  const endpoint& where, double cached_probability, instant now)
 {
     double cold = 0.0;
-    double cached = 1.0; // a part is of use only behind all those before it
+    double cached = 1.0; // a part is usable only if all parts before it are cached
     for (const auto& part : parts) {
         cached =
             std::min(cached, std::max(cached_probability,
@@ -166,9 +167,9 @@
     return cold;
 }
 
-// The endpoint that costs least: what it holds already, what reading the prompt there costs this
-// request and those beside it, and the way into another zone. `random` says where equal ones are
-// looked at first.
+// The endpoint with the lowest cost: its present load, the cost of processing the prompt there for
+// this request and the others in progress, and a penalty for another zone. `random` selects where
+// the search starts, which decides between equal endpoints.
 const endpoint* endpoint_choice::cheapest(const std::vector<endpoint*>& subset,
                                           std::uint64_t random) const
 {
@@ -216,14 +217,16 @@
     return this->has_reported_room(where);
 }
 
-// A slot is left to lookups wherever there are two; where there is one, readings must run at last.
+// Reserves at least one slot for lookups if there are several. If there is only one, readings may
+// use it, since they must run eventually.
 bool endpoint_choice::has_room_for_readings(const endpoint& where, double limit) const
 {
     const double share = std::min(std::floor(where.long_share * limit), limit - 1.0);
     return where.readings < std::max(1.0, share);
 }
 
-// Counts in what other routers have sent there.
+// Whether there is room by the endpoint's load reports, which include the requests of other
+// routers.
 bool endpoint_choice::has_reported_room(const endpoint& where) const
 {
     const auto held = where.load.held(this->now, this->settings.report_lifetime);
@@ -234,13 +237,13 @@
     if (this->wanted.kind == work_class::lookup) {
         return *held < capacity * this->settings.report_overcommit;
     }
-    // A reading that queues at the endpoint holds nothing but its place there.
+    // A queued reading has no benefit over waiting here.
     return *held + 1.0 <= capacity && this->may_add_reading(where, *held);
 }
 
-// Whether the endpoint has a slot for one more reading, and this router may take it. What part of
-// the others' work is readings is not reported; it is taken to be as here, since callers are spread
-// over the routers.
+// Whether the endpoint has a slot for one more reading and this router may take it. Reports don't
+// tell how many of the others' requests are readings; the share is assumed to be the same as here,
+// since callers are spread over the routers.
 bool endpoint_choice::may_add_reading(const endpoint& where, double held) const
 {
     const double held_by_others = std::max(0.0, held - where.outstanding);
@@ -251,15 +254,16 @@
     if (free_slots < 1.0) {
         return false;
     }
-    // All routers see the same slots come free, long after the fact; if each took them, readings
-    // would fill the slots of lookups and queue at the endpoint. Each takes as many as its part of
-    // the work there is; parts of a slot go by a draw that differs by router, for a second each.
+    // All routers see the same slots become free, with a delay. If each took them, readings would
+    // fill the slots of lookups and queue at the endpoint. So each takes slots in proportion to its
+    // share of the requests; fractions of a slot are decided by a draw that differs by router and
+    // is valid for a second.
     const auto period = static_cast<std::uint64_t>(this->now.time_since_epoch() / draw_period);
     const std::uint64_t draw = mix(period ^ mix(where.identity ^ this->settings.router_seed));
     return free_slots * this->own_share + unit_fraction(draw) >= 1.0;
 }
 
-// Requests held and work held, each against what the endpoint bears.
+// Requests and work in flight, each relative to the endpoint's capacity.
 double endpoint_choice::load_of(const endpoint& where) const
 {
     const double work = where.work + this->others.of(where.host).work;
@@ -272,15 +276,15 @@
     return work / this->settings.typical_work / where.capacity();
 }
 
-// This router's requests there and those of the others.
+// Requests in flight there, of this router and its peers.
 double endpoint_choice::requests_at(const endpoint& where) const
 {
     const auto by_peers = this->others.of(where.host).requests;
     return static_cast<double>(where.outstanding + by_peers);
 }
 
-// The endpoint that is likely to hold the prompt's beginning in its cache, or the one that takes
-// its overflow; null where both are full or loaded well over the mean.
+// The endpoint that is likely to have the prompt's prefix cached, or the next one as its overflow;
+// null if both are full or loaded well above the mean.
 const endpoint* endpoint_choice::choose_warm(const std::vector<endpoint*>& subset) const
 {
     if (this->wanted.prefix_hash == 0) {
@@ -305,8 +309,8 @@
     return std::max(this->settings.affinity_free_share, this->settings.affinity_load_factor * mean);
 }
 
-// Power of two choices: of two drawn at random the one less loaded. Always taking the least loaded
-// would send all routers to the same endpoint until its next report.
+// Power of two choices: the less loaded of two endpoints drawn at random. Always taking the least
+// loaded one would make all routers choose the same endpoint until its next report.
 std::optional<endpoint_choice::candidate>
 endpoint_choice::better_of_two(const std::vector<endpoint*>& among, std::uint64_t random) const
 {
--- a/decision/src/endpoint_choice.hpp
+++ b/decision/src/endpoint_choice.hpp
@@ -13,39 +13,40 @@
 
 namespace pearhaven::decision {
 
-// This router's own requests under way, at all endpoints together.
+// This router's requests in flight, at all endpoints together.
 struct own_load {
     std::uint32_t outstanding = 0;
     std::uint32_t readings = 0;
 };
 
-// The endpoints that this router uses of a target: the first ones that are well and not to be
-// avoided, most of them in its own zone. All of them while they are few.
+// This router's subset of a target's endpoints: the first healthy ones that need not be avoided,
+// most of them in its own zone; all of them if there are few.
 [[nodiscard]] std::vector<endpoint*> subset_of(const route& from,
                                                const std::vector<std::string>& avoid, instant now,
                                                const endpoint_table_settings& settings);
 
-// What of the parts is not in the endpoint's cache, as work. `likely` is how likely it has one that
-// nothing is known of.
+// Work of those parts that are not in the endpoint's cache. `cached_probability` applies to parts
+// of which nothing is known.
 [[nodiscard]] double cold_work(const std::vector<prompt_part>& parts, const prompt_map& prompts,
                                const endpoint& where, double cached_probability, instant now);
 
 // One choice among the endpoints of a route.
 class endpoint_choice {
 public:
-    // All that is passed by reference must outlive the choice.
+    // All arguments passed by reference must outlive the choice.
     endpoint_choice(const endpoint_table_settings& chosen, const placement& request,
                     const own_load& load, const peer_loads& peers, const prompt_map& read,
                     instant at)
         : settings(chosen), wanted(request), own(load), others(peers), prompts(read), now(at)
     {}
 
-    // Null when none has room.
+    // Returns null if none has room.
     [[nodiscard]] const endpoint* choose(const route& from, std::uint64_t random);
 
-    // Of the endpoints that may be taken the one that is being filled already, else the one that
-    // every router ranks first, whatever its zone and its subset; null where none may. By rank
-    // alone an endpoint that was lost and comes back empty would take the place of its successor.
+    // The endpoint for concentrated requests: of the permitted endpoints the one that is already
+    // being filled, otherwise the one that all routers rank first, regardless of zone and subset;
+    // null if none is permitted. By rank alone, an endpoint that was lost and comes back empty
+    // would take over from its successor.
     [[nodiscard]] const endpoint* concentration_endpoint(const route& from) const;
 
 private:
@@ -77,7 +78,7 @@
     const peer_loads& others;
     const prompt_map& prompts;
     instant now;
-    double own_share = 1.0; // of all work at the endpoints
+    double own_share = 1.0; // of all requests at the endpoints
 };
 
 } // namespace pearhaven::decision
--- a/decision/src/endpoint_directory.cpp
+++ b/decision/src/endpoint_directory.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The names under which the maps hold something else, or only one of them holds anything.
+// The names whose objects differ between the maps or occur in only one of them.
 template <typename Object>
 name_set differing(const std::map<std::string, Object>& before,
                    const std::map<std::string, Object>& after)
@@ -77,7 +77,7 @@
     }
 }
 
-// What the pools select, as the configuration in force states them.
+// Adds what the pools select in the current configuration.
 void endpoint_directory::add_affected_by_pools(const name_set& names, affected& all) const
 {
     for (const auto& name : names) {
@@ -192,7 +192,7 @@
     endpoint_host newer = host;
     if (this->settings.lists_in_order && newer.incarnation == 0) {
         newer.incarnation =
-            this->last_incarnation(host.address); // without one it tells of no new start
+            this->last_incarnation(host.address); // the list does not report a restart
     }
     this->refused.erase(host.address);
     endpoint* known = this->find(host.address);
@@ -241,7 +241,7 @@
         return;
     }
     this->remember_incarnation(newer.address, before);
-    // The list lags: it may still name a process that another one has replaced since.
+    // The list lags and may still contain a process that has been replaced since.
     if (newer.incarnation == before) {
         known.host = newer;
     }
@@ -256,8 +256,8 @@
 
 void endpoint_directory::remember_incarnation(const std::string& address, std::uint64_t incarnation)
 {
-    // A write of a process that died is carried out some seconds late at most; in that time no
-    // endpoint starts so often.
+    // The store may apply a write of a terminated process some seconds late; no endpoint restarts
+    // this often in that time.
     constexpr std::size_t max_incarnations = 16;
     auto& incarnations = this->histories[address].incarnations;
     if (!incarnations.empty() && incarnations.back() == incarnation) {
@@ -269,7 +269,7 @@
     }
 }
 
-// The newest known incarnation; 0 for none.
+// The newest known incarnation; 0 if there is none.
 std::uint64_t endpoint_directory::last_incarnation(const std::string& address) const
 {
     const auto history = this->histories.find(address);
@@ -277,7 +277,7 @@
     return is_known ? history->second.incarnations.back() : 0;
 }
 
-// Whether another process has replaced that one.
+// Whether that incarnation has been replaced by another process.
 bool endpoint_directory::has_ended(const std::string& address, std::uint64_t incarnation) const
 {
     const auto history = this->histories.find(address);
@@ -300,7 +300,7 @@
     if (std::exchange(known.listed, false)) {
         changes.ended.push_back({address, known.host.incarnation, std::nullopt});
     }
-    // What runs there must still be counted, should the host come back to the list.
+    // Requests in flight there must still be counted if the host returns to the list.
     if (known.outstanding > 0) {
         this->unlisted.insert(address);
         this->index_endpoint(known);
@@ -334,7 +334,7 @@
     }
 }
 
-// From now on, for an address without an endpoint.
+// Starts the retention period for an address without an endpoint.
 void endpoint_directory::retain_history(const std::string& address, instant now)
 {
     address_history& history = this->histories[address];
@@ -343,7 +343,7 @@
     this->retained.insert({now, address});
 }
 
-// A listed host that was refused for what is forgotten here is taken.
+// A listed host that was refused because of an expired history is now accepted.
 void endpoint_directory::expire_histories(instant now, host_list_changes& changes)
 {
     while (!this->retained.empty() &&
@@ -400,7 +400,7 @@
     return found == this->endpoints.end() ? nullptr : &found->second;
 }
 
-// Puts the endpoint where its tags, its listing and its leaving have it.
+// Adds the endpoint to the indexes by its tags, whether it is listed and whether it is leaving.
 void endpoint_directory::index_endpoint(endpoint& where)
 {
     this->apply_configuration(where);
@@ -418,7 +418,7 @@
     }
 }
 
-// Undoes `place`. The endpoint must be as it was then.
+// Undoes `index_endpoint`. The endpoint must not have changed in between.
 void endpoint_directory::unindex_endpoint(endpoint& where)
 {
     this->endpoints_by_tags.remove(where.host.tags, where.host.address);
@@ -443,7 +443,7 @@
     this->index_endpoint(where);
 }
 
-// Those that are built; the others find it when they are.
+// Adds to existing routes only; a route built later includes the endpoint.
 void endpoint_directory::add_to_routes(endpoint& where)
 {
     const bool is_local = where.host.zone == this->settings.zone;
@@ -485,7 +485,7 @@
     where.limit.set_ceiling(slots);
 }
 
-// All that the host serves, each once.
+// All versions and services that the host serves, without duplicates.
 std::vector<route_key> endpoint_directory::served_by(const endpoint_host& host) const
 {
     std::set<route_key> served;
@@ -524,7 +524,7 @@
     return addresses;
 }
 
-// The configuration must hold the name.
+// The name must be configured.
 name_set endpoint_directory::endpoints_of(const route_key& key) const
 {
     if (key.is_service) {
@@ -548,7 +548,7 @@
     if (found != this->routes.end()) {
         return found->second;
     }
-    // Only names of the configuration are retained, so that callers' inventions take no history.
+    // Only configured names are kept, so that arbitrary names from callers use no memory.
     const bool exists = is_service ? this->config->services().count(name) > 0
                                    : this->config->versions().count(name) > 0;
     static const route empty;
@@ -574,8 +574,8 @@
     return built;
 }
 
-// Rendezvous hashing: each router prefers other endpoints, and a host that comes or goes moves
-// nothing but its own place.
+// Rendezvous hashing: routers have different preferences, and adding or removing a host does not
+// reorder the others.
 bool endpoint_directory::is_better(const endpoint& left, const endpoint& right) const
 {
     return mix(left.identity ^ this->settings.router_seed) <
--- a/decision/src/endpoint_directory.hpp
+++ b/decision/src/endpoint_directory.hpp
@@ -16,29 +16,29 @@
 
 namespace pearhaven::decision {
 
-// The endpoints of one version or service that are not leaving, best first for this router.
+// The endpoints of one version or service that are not leaving, in this router's order of
+// preference.
 struct route {
     std::vector<endpoint*> local; // in the router's zone
     std::vector<endpoint*> remote;
 };
 
-// What followed from a change of the host list.
+// The effects of a change of the host list.
 struct host_list_changes {
     std::vector<ended_incarnation> ended;
-    std::uint32_t outstanding_lost =
-        0;                           // requests that ran in those incarnations and count no longer
-    std::uint32_t readings_lost = 0; // of them
+    std::uint32_t outstanding_lost = 0; // requests in flight at replaced incarnations
+    std::uint32_t readings_lost = 0;    // readings among them
 };
 
-// Which endpoints there are, which of them leave, and what each serves. A change of an endpoint
-// costs what that endpoint, its group and its routes hold; one of the configuration, besides the
-// comparison, what the pools, versions and services that differ select.
+// The known endpoints, which of them are leaving, and what each serves. The cost of changing an
+// endpoint depends on that endpoint, its group and its routes; the cost of a configuration change
+// on the pools, versions and services that differ and what they select, besides the comparison.
 class endpoint_directory {
 public:
-    // Settings must outlive the directory.
+    // `chosen` must outlive the directory.
     explicit endpoint_directory(const endpoint_table_settings& chosen) : settings(chosen) {}
 
-    // Shares the configuration.
+    // Shares ownership of the configuration.
     void configure(const configuration& current);
 
     [[nodiscard]] host_list_changes set_hosts(const std::vector<endpoint_host>& hosts, instant now);
@@ -49,7 +49,7 @@
     endpoint* find(const std::string& address);
     [[nodiscard]] bool is_leaving(const endpoint& where) const;
 
-    // Empty for a name that the configuration does not hold. Valid until the next change.
+    // Empty for a name that is not configured. Valid until the next change.
     const route& route_for(const std::string& name, bool is_service);
 
     // The listed endpoints of the same pool or service, itself included.
@@ -66,15 +66,15 @@
     }
 
 private:
-    // What stays known of an address while no list names it.
+    // What is remembered of an address while it is not listed.
     struct address_history {
-        std::optional<std::uint64_t> leaving;    // the incarnation that was marked
-        std::vector<std::uint64_t> incarnations; // incarnations in the order they came, newest last
-        instant retained_since{}; // since when it is retained for an unlisted address
+        std::optional<std::uint64_t> leaving;    // the incarnation marked as leaving
+        std::vector<std::uint64_t> incarnations; // in order of arrival, newest last
+        instant retained_since{};                // when the address became unlisted
     };
 
-    // An address of which only the history is there. Ordered by the moment from which it is
-    // retained.
+    // An address without an endpoint whose history is retained. Ordered by the start of the
+    // retention.
     struct retained_history {
         instant retained_since{};
         std::string address;
@@ -86,7 +86,7 @@
         }
     };
 
-    // What a change of the configuration touches.
+    // The objects affected by a change of the configuration.
     struct affected {
         name_set addresses;
         std::set<route_key> routes;
@@ -128,8 +128,9 @@
     const endpoint_table_settings& settings;
     configuration_ptr config = configuration_builder().build();
     std::map<std::string, endpoint> endpoints;
-    std::map<std::string, endpoint_host> refused; // listed, but of a life that has ended
-    name_set unlisted;                            // endpoints that no list names, but in use then
+    std::map<std::string, endpoint_host>
+        refused;       // listed with an incarnation that has already ended
+    name_set unlisted; // endpoints dropped from the list with requests in flight
     std::map<std::string, address_history> histories;
     std::set<retained_history> retained; // the histories whose address has no endpoint
     std::map<route_key, route> routes;
--- a/decision/src/endpoint_health.cpp
+++ b/decision/src/endpoint_health.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A trial that lasts this long has met no dead endpoint; it may be a long answer. Waiting for its
-// end would leave the endpoint idle for minutes.
+// After this time a trial shows that the endpoint is reachable; it may just be a long answer, and
+// waiting for its end would leave the endpoint idle for minutes.
 constexpr duration trial_timeout = std::chrono::seconds(3);
 
 } // namespace
@@ -46,7 +46,7 @@
 
 void endpoint_health::eject(instant now, const endpoint_table_settings& settings)
 {
-    // Attempts that were sent together fail together: that is one ejection.
+    // Attempts that were sent together fail together and cause one ejection.
     if (this->is_ejected(now)) {
         return;
     }
@@ -64,11 +64,11 @@
     this->connections_silent = false;
 }
 
-// Connections can go silent for good while the endpoint is well, since something in between has
-// lost track of them; then all that were open hang at about the same time. Blaming the endpoint
-// would eject a healthy one, and several at once in the worst case. So the attempts that were under
-// way are forgiven. An attempt started since then had a fresh connection: if that goes silent too,
-// and nothing has finished in between, the endpoint itself hangs.
+// Connections can go silent for good while the endpoint is healthy, because a device in between has
+// lost their state; then all open connections hang at about the same time. Ejecting the endpoint,
+// or several at once in the worst case, would be wrong. So the attempts then in flight are not
+// counted against it. Later attempts had a fresh connection: if one of them goes silent too and
+// nothing has finished in between, the endpoint itself hangs.
 endpoint_health::verdict endpoint_health::on_silence(std::uint32_t others_outstanding)
 {
     if (!this->connections_silent) {
--- a/decision/src/endpoint_state.hpp
+++ b/decision/src/endpoint_state.hpp
@@ -21,7 +21,7 @@
 
 namespace pearhaven::decision {
 
-// First-token latency of late in one class, in microseconds.
+// Moving average of the first-token latency in one class, in microseconds.
 struct first_token_mean {
     double mean = 0.0;
     std::uint32_t samples = 0;
@@ -47,7 +47,7 @@
     }
 };
 
-// All that is known of one endpoint.
+// The state of one endpoint.
 struct endpoint {
     explicit endpoint(endpoint_host listed_host)
         : host(std::move(listed_host)),
@@ -57,15 +57,15 @@
     endpoint_host host;
     std::uint64_t identity;
     bool listed = true;
-    std::string group; // pool or service, whose endpoints are compared with each other
+    std::string group; // pool or service whose endpoints are compared with each other
     double long_share = 1.0;
-    std::vector<route_key> routes; // those it stands in
+    std::vector<route_key> routes; // routes that contain it
 
     std::uint32_t outstanding = 0;
-    std::uint32_t readings = 0;       // of the outstanding ones
-    std::uint32_t writing = 0;        // of the outstanding ones, those whose answers have begun
-    double work = 0.0;                // of the outstanding ones
-    std::vector<std::uint64_t> parts; // of their prompts; a key for each request that has it
+    std::uint32_t readings = 0;       // of the outstanding requests
+    std::uint32_t writing = 0;        // outstanding requests whose answers have begun
+    double work = 0.0;                // of the outstanding requests
+    std::vector<std::uint64_t> parts; // of their prompts; one key per request
 
     concurrency_limit limit{1.0};
     load_estimate load;
@@ -73,9 +73,9 @@
     std::array<first_token_mean, 2> first_tokens{};
     instant next_slowness_check{};
 
-    // Another process has taken the address over. It holds nothing: the attempts that the earlier
-    // one was sent break with their connections, and counted on they would keep work away from a
-    // process that is idle.
+    // Another process has taken over the address. It has no requests in flight: those sent to the
+    // earlier process fail with its connections, and counting them would keep work away from an
+    // idle process.
     void replace(const endpoint_host& newer)
     {
         this->host = newer;
@@ -126,13 +126,14 @@
         return this->first_tokens.at(static_cast<std::size_t>(kind));
     }
 
-    // Requests it bears at a time: as reported, else as the configuration says.
+    // Concurrent requests it can run: as reported, otherwise as configured.
     [[nodiscard]] double capacity() const
     {
         return this->load.capacity() > 0.0 ? this->load.capacity() : this->limit.ceiling();
     }
 
-    // Requests at the endpoint, this router's and, after a fresh report, those of all routers.
+    // Requests at the endpoint: of all routers if there is a fresh report, otherwise of this
+    // router.
     [[nodiscard]] double held(instant now, const endpoint_table_settings& settings) const
     {
         const double own = this->outstanding;
--- a/decision/src/endpoint_table.cpp
+++ b/decision/src/endpoint_table.cpp
@@ -15,7 +15,7 @@
 
 constexpr duration slowness_check_interval = std::chrono::seconds(1);
 
-// As listed, but with what is known of its leaving.
+// The listed host, with its current leaving state.
 endpoint_host current_host(const endpoint_directory& directory, const endpoint& where)
 {
     endpoint_host host = where.host;
@@ -23,14 +23,14 @@
     return host;
 }
 
-// Whether the endpoint is there and of that incarnation; of any, without one.
+// Whether the endpoint is known and has that incarnation; without one, any incarnation matches.
 bool has_incarnation(const endpoint* where, std::optional<std::uint64_t> incarnation)
 {
     return where != nullptr &&
            incarnation.value_or(where->host.incarnation) == where->host.incarnation;
 }
 
-// Where either side does not know the incarnation, nothing speaks against it.
+// An unknown incarnation on either side matches.
 bool may_describe(const endpoint* where, const load_report& report)
 {
     if (where == nullptr) {
@@ -61,19 +61,19 @@
     peer_loads others;
     prompt_map prompts;
 
-    // What others hold at the endpoints is read there.
+    // Prompt parts of peers' requests are cached at their endpoints.
     void record_peer_parts(const std::vector<endpoint_load>& loads, instant now);
 
-    // This router's requests there, and those of the others that it hears of.
+    // Requests in flight there, of this router and of the peers that report to it.
     [[nodiscard]] double requests_at(const endpoint& where) const
     {
         return static_cast<double>(where.outstanding + this->others.of(where.host).requests);
     }
 
-    // By which what this router knows of is multiplied, to stand for all `routers`.
+    // Factor that extrapolates from the routers that report here to all `routers`.
     [[nodiscard]] double extrapolation_factor(std::size_t routers) const;
 
-    // The same for what is held at an endpoint that is being filled, of which more routers tell.
+    // The same for an endpoint that is being filled, for which more routers report their load.
     [[nodiscard]] double extrapolation_factor_when_filling(std::size_t routers) const;
 
 private:
@@ -88,7 +88,7 @@
     own_load own;
 };
 
-// What ran at processes that were replaced is held no longer.
+// Requests at replaced processes are no longer in flight.
 std::vector<ended_incarnation> endpoint_table::state::apply(host_list_changes changes)
 {
     this->own.outstanding -= changes.outstanding_lost;
@@ -186,8 +186,8 @@
     }
 }
 
-// When most endpoints fail or are slow, the cause lies elsewhere, as with a bad version; taking
-// them out would leave the rest with a load they cannot bear.
+// If most endpoints fail or are slow, the cause lies elsewhere, such as a bad version; ejecting
+// them would overload the rest.
 bool endpoint_table::state::can_spare(const endpoint& where, instant now) const
 {
     const auto& peers = this->directory.peers_of(where);
--- a/decision/src/load_estimate.cpp
+++ b/decision/src/load_estimate.cpp
@@ -41,8 +41,8 @@
     if (!this->described || now - *this->described > std::min(lifetime, longest)) {
         return std::nullopt;
     }
-    // Of the slice in which the described moment lies, starts count and ends do not: too high an
-    // estimate costs a detour, too low a one a queue at the endpoint.
+    // In the slice that contains the measurement, starts count and ends do not: an estimate that is
+    // too high causes a detour, one that is too low causes queueing at the endpoint.
     const std::int64_t first = slice_number(*this->described);
     const std::int64_t present = slice_number(now);
     double total = this->last.running + this->last.queued;
--- a/decision/src/load_estimate.hpp
+++ b/decision/src/load_estimate.hpp
@@ -10,25 +10,25 @@
 
 namespace pearhaven::decision {
 
-// How many requests an endpoint holds now, its own ones and those of other routers. A load report
-// describes a moment that has passed; what this router has sent and seen ending since is added.
+// Estimates how many requests of all routers an endpoint has now. A load report describes a past
+// moment; requests that this router has sent, and seen end, since then are added and subtracted.
 class load_estimate {
 public:
     void on_started(instant now);
     void on_ended(instant now);
 
-    // A report older than the one held is dropped: it was overtaken on its way.
+    // Reports that arrive out of order are dropped.
     void on_report(const load_report& report, instant now);
 
-    // Nothing without a report younger than the lifetime.
+    // Nothing if there is no report younger than `lifetime`.
     [[nodiscard]] std::optional<double> held(instant now, duration lifetime) const;
 
-    // As last reported; zero where it never was.
+    // As last reported; zero if never reported.
     [[nodiscard]] double capacity() const { return this->last.capacity; }
     [[nodiscard]] bool draining() const { return this->last.draining; }
 
 private:
-    // Counts of one slice of time. Slices are reused in a ring.
+    // Counts of one time slice. Slices are reused in a ring.
     struct slice {
         std::int64_t number = -1;
         std::uint32_t started = 0;
@@ -40,7 +40,7 @@
     static constexpr std::size_t ring_size = 64;
     std::array<slice, ring_size> ring{};
     load_report last{};
-    std::optional<instant> described; // the moment that the last report describes
+    std::optional<instant> described; // when the last report was measured
 };
 
 } // namespace pearhaven::decision
--- a/decision/src/peer_loads.hpp
+++ b/decision/src/peer_loads.hpp
@@ -11,27 +11,27 @@
 
 namespace pearhaven::decision {
 
-// What the other routers have report that they hold at the endpoints, added up. Each router's
-// newest word replaces its earlier one; a router that falls silent counts for nothing after a
-// while, since its callers have gone elsewhere or its work has ended unheard.
+// The sum of the loads that the other routers report at the endpoints. A router's latest report
+// replaces its previous one. Reports expire, because a silent router's callers have moved elsewhere
+// or its requests have ended without a report.
 class peer_loads {
 public:
     struct sum {
         std::int64_t requests = 0;
         double work = 0.0;
-        std::int64_t writing = 0; // answers
+        std::int64_t writing = 0; // answers being written
     };
 
-    // All that the router holds; what it does not name it does not hold.
+    // The complete load of the router; an endpoint that is not listed has none of its requests.
     void on_report(const std::string& router, std::vector<endpoint_load> loads, instant now);
 
-    // Drops the reports older than the lifetime.
+    // Drops the reports older than `lifetime`.
     void expire(instant now, duration lifetime);
 
-    // Routers that have report something of late.
+    // Number of routers with a current report.
     [[nodiscard]] std::size_t routers() const { return this->reports.size(); }
 
-    // Only at this incarnation: what was sent to an earlier one ended with it.
+    // Only at this incarnation: requests sent to an earlier one ended with it.
     [[nodiscard]] sum of(const endpoint_host& where) const;
 
 private:
@@ -45,7 +45,7 @@
         sum total;
     };
 
-    // `sign` is 1 to count the word in, -1 to take it out again.
+    // `sign` is 1 to add the report, -1 to remove it.
     void add(const peer_report& report, int sign);
 
     std::map<std::string, peer_report> reports;                         // by router
--- a/decision/src/prompt_map.cpp
+++ b/decision/src/prompt_map.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-// An engine with memory for half a million tokens that begins three requests of 8,000 tokens a
-// second fills it in some twenty seconds. Up to the first time a part is as good as held, from the
-// second on as good as gone.
+// An engine with memory for half a million tokens that starts three requests of 8,000 tokens a
+// second fills it in about twenty seconds. Up to the first time a part counts as cached, from the
+// second on as evicted.
 constexpr duration certainly_cached_for = std::chrono::seconds(10);
 constexpr duration certainly_evicted_after = std::chrono::seconds(30);
 
 constexpr duration expiry_period = std::chrono::seconds(1);
 
-// Parts that are remembered. Those of 10,000 engines with 100 each would take 50 MB; a router's
-// callers use far fewer within half a minute.
+// Limit of tracked parts. 10,000 engines with 100 parts each would take 50 MB; a router's callers
+// use far fewer within half a minute.
 constexpr std::size_t max_parts = 50'000;
 
 } // namespace
--- a/decision/src/prompt_map.hpp
+++ b/decision/src/prompt_map.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::decision {
 
-// One life of an endpoint. What it had read is gone with it.
+// One incarnation of an endpoint. Its cache is lost when it ends.
 struct endpoint_incarnation {
     std::uint64_t identity = 0;
     std::uint64_t incarnation = 0;
@@ -18,19 +18,18 @@
     friend bool operator==(const endpoint_incarnation&, const endpoint_incarnation&) = default;
 };
 
-// Which parts of prompts which endpoints have read of late, and so need not read again. It is a
-// belief: endpoints drop what they have not used for longest as their memory fills, and do not tell
-// it here.
+// Tracks which prompt parts are probably cached at which endpoints. This is an estimate: endpoints
+// evict the least recently used parts when their memory fills, without reporting it here.
 class prompt_map {
 public:
-    // The endpoint reads the part, or has it in use still.
+    // The endpoint processes the part, or still uses it.
     void record(const endpoint_incarnation& where, std::uint64_t part, instant now);
 
-    // How likely the endpoint has the part still, 0 to 1.
+    // Probability, 0 to 1, that the part is still cached at the endpoint.
     [[nodiscard]] double cached(const endpoint_incarnation& where, std::uint64_t part,
                                 instant now) const;
 
-    // Drops what no endpoint is likely to have. Cheap where it was called a moment ago.
+    // Drops entries that have probably been evicted. Cheap if called recently.
     void expire(instant now);
 
     [[nodiscard]] std::size_t size() const { return this->locations.size(); }
--- a/decision/src/rollout_evidence.cpp
+++ b/decision/src/rollout_evidence.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Runs between two false alarms of a version exactly at the base rate, at least.
+// Min mean number of runs between false alarms of a version exactly at the base rate.
 constexpr double runs_between_alarms = 1e9;
 
 } // namespace
--- a/decision/src/rollout_exposure.cpp
+++ b/decision/src/rollout_exposure.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Half of the false alarms that a roll-out may have are for all the routers' own tests together,
-// half for the test of the holder, which sees everything.
+// Half of a rollout's false-alarm probability is for the tests of all routers together, half for
+// the test of the lease holder, which sees all evidence.
 constexpr double false_alarm_of_routers = 0.005;
 
 bool is_model(const configuration& current, const std::string& name)
@@ -72,8 +72,8 @@
                                      before->second.plan.to == plan.to;
         if (is_same_attempt) {
             known = before->second;
-            // Each part loads the endpoints otherwise than the one before. What was good there says
-            // nothing of this one, and would only weigh against what fails now.
+            // Each state loads the endpoints in a different way. Good results from the previous
+            // state are no evidence for this one and would only outweigh present failures.
             const bool same_state =
                 known.plan.state == plan.state && known.plan.fills_endpoint == plan.fills_endpoint;
             known.seen = same_state ? known.seen : run_counts();
@@ -88,8 +88,8 @@
     this->has_configuration = true;
 }
 
-// The size that is written in the configuration is the same for all. A router that has just started
-// and knows few of the others yet would, by its own count alone, take a part that is too large.
+// The fleet size in the configuration is the same for all routers. A router that has just started
+// and knows few others would take too large a share by its own count.
 void rollout_exposure::add_grant(tracked& known, const rollout& plan, std::uint64_t before)
 {
     const auto granted = granted_callers(plan, plan.step);
@@ -115,16 +115,16 @@
     if (this->is_tripped(known)) {
         return false;
     }
-    // Once all traffic has moved, a request that the new version lost is tried there again: on the
-    // old one its session would be on two versions.
+    // Once all traffic has moved, a request that failed on the new version is retried there: on the
+    // old one its session would use two versions.
     if (plan.state == rollout_state::done) {
         return true;
     }
     if (contains(context.lost_on, plan.to)) {
         return false;
     }
-    // A request that has begun on another version stays there. Its caller may have a part of the
-    // answer already, and a bad version would break that off for good.
+    // A request that has begun on another version stays there. Its caller may already have part of
+    // the answer, and a bad version would break it off for good.
     if (!context.ran_on.empty() && context.ran_on != plan.to) {
         return false;
     }
@@ -133,8 +133,9 @@
         is_sampled(session_key != 0 ? session_key : question.random, plan.fill_ppm)) {
         return is_running;
     }
-    // Routers keep no table of sessions, so none knows on which version this one ran a moment ago
-    // elsewhere. By its name alone all routers choose alike, so that it changes its version once.
+    // Routers keep no table of sessions, so none knows which version this session last used at
+    // another router. The decision depends on its key alone, so all routers agree and the session
+    // changes version once.
     if (session_key != 0) {
         return is_running && is_sampled(session_key, plan.session_ppm);
     }
@@ -170,7 +171,7 @@
                              context.lost_on.end());
     auto answer = choose_version(narrower);
     if (answer.refusal != version_refusal::none) {
-        // The team may use nothing but new versions: there is nothing to decide between.
+        // The team may use only new versions, so there is nothing to decide.
         return {choose_version(question), {}};
     }
     rollout_choice chosen{std::move(answer), {}};
--- a/decision/src/rollout_judge.cpp
+++ b/decision/src/rollout_judge.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// The holder's half of the false alarms that a roll-out may have.
+// The lease holder's half of a rollout's false-alarm probability.
 constexpr double false_alarm_of_holder = 0.005;
 
-// What was told of a step must have had time to come in before it counts as lost.
+// Reports on a step must have had time to arrive before its grant counts as lost.
 constexpr duration min_time_before_renewal = std::chrono::seconds(10);
 
 test_verdict verdict_on(const rollout& plan, const rollout_fleet_evidence& evidence)
--- a/decision/src/session_token.cpp
+++ b/decision/src/session_token.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Layout: MARK.KEY.ID.TEAM.MODEL.VERSION.CODE, each part escaped; the code covers all before it.
+// Layout: FORMAT.KEY.ID.TEAM.MODEL.VERSION.CODE, each field escaped; the code covers everything
+// before it.
 constexpr std::string_view format_version = "s1";
 constexpr char separator = '.';
 constexpr std::size_t part_count = 7;
@@ -57,7 +58,7 @@
         plain.push_back(static_cast<char>(high * hexadecimal.size() + low));
         at += 2;
     }
-    // Each value has one spelling, so that a token cannot be altered and still be accepted.
+    // Each value has only one valid encoding, so an altered token is never accepted.
     if (escape(plain) != escaped) {
         return std::nullopt;
     }
--- a/decision/src/speed_reference.cpp
+++ b/decision/src/speed_reference.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Part of the estimate that one answer may move it by; it then follows the load within some tens of
+// Relative change of the estimate by one answer; it then follows the load within some tens of
 // answers.
 constexpr double gain = 0.1;
 
@@ -12,7 +12,8 @@
 
 } // namespace
 
-// Stochastic approximation of a quantile: the steps up and down balance where the share holds.
+// Stochastic approximation of a quantile: the steps up and down cancel out when the configured
+// share of answers is below the estimate.
 void speed_reference::learn(const std::string& model, std::uint32_t size, duration seen)
 {
     const auto time = static_cast<double>(seen.count());
--- a/decision/src/traffic_route.cpp
+++ b/decision/src/traffic_route.cpp
@@ -42,7 +42,7 @@
     }
 }
 
-// Of two routes with the same host and prefix the first one stays.
+// Of two routes with the same host and prefix, the first one is kept.
 void route_table::index(const traffic_route& one)
 {
     host_routes& known = this->by_host[without_port(one.host)];
@@ -59,7 +59,7 @@
     const auto plain = path.substr(0, path.find('?'));
     const auto& lengths = known->second.lengths;
     const auto& by_prefix = known->second.by_prefix;
-    // The longest first, from the first one that the path can hold.
+    // Longest prefix first, starting with the longest that fits into the path.
     auto length = std::lower_bound(lengths.begin(), lengths.end(), plain.size(), std::greater<>());
     for (; length != lengths.end(); ++length) {
         const auto found = by_prefix.find(plain.substr(0, *length));
--- a/decision/src/version_choice.cpp
+++ b/decision/src/version_choice.cpp
@@ -23,7 +23,7 @@
            !is_excluded(question, candidate.name);
 }
 
-// Why none of these versions takes the caller's work.
+// Why none of these versions accepts the caller's request.
 version_refusal refusal_reason(const version_question& question,
                                const std::vector<const version*>& candidates)
 {
@@ -55,10 +55,10 @@
     return found;
 }
 
-// The version that takes an excluded version's traffic; null where none does.
+// The version that gets an excluded version's traffic; null if there is none.
 const version* fallback_for(const version_question& question, const version& excluded)
 {
-    // Fallbacks may name each other in a circle.
+    // Fallbacks may form a cycle.
     std::size_t hops_left = question.current->versions().size();
     const version* candidate = &excluded;
     while (candidate != nullptr && is_excluded(question, candidate->name) && hops_left > 0) {
@@ -148,7 +148,7 @@
     return refuse(refusal_reason(question, candidates));
 }
 
-// Whether the name asked for covers the version that the session is bound to.
+// Whether the requested name includes the version that the session is bound to.
 bool covers(const version_question& question, const version& candidate)
 {
     const auto& asked = question.asked;
