--- a/decision/test/endpoint_changes_test.cpp
+++ b/decision/test/endpoint_changes_test.cpp
@@ -61,9 +61,9 @@
         .build();
 }
 
-using lives = std::vector<ended_incarnation>;
+using ended_list = std::vector<ended_incarnation>;
 
-// A table whose endpoints come and go one by one.
+// A table whose endpoints are added and removed one by one.
 struct changing_table {
     changing_table()
     {
@@ -86,32 +86,33 @@
 
 TEST_GROUP(endpoint_changes){};
 
-TEST(endpoint_changes, an_endpoint_that_comes_gets_work_and_the_others_keep_theirs)
+TEST(endpoint_changes, an_added_endpoint_gets_work_and_the_others_keep_theirs)
 {
     changing_table known;
     known.table.started("e0", work_class::lookup, 100.0, {}, known.now);
     CHECK_EQUAL(std::string("none"), known.choose("b"));
-    CHECK_TRUE(lives{} == known.table.set_host(host_at("e2", 1, "b"), known.now));
+    CHECK_TRUE(ended_list{} == known.table.set_host(host_at("e2", 1, "b"), known.now));
     CHECK_EQUAL(std::string("e2"), known.choose("b"));
     CHECK_EQUAL(1U, known.table.own_loads().size());
     CHECK_EQUAL(3U, known.table.addresses().size());
 }
 
-TEST(endpoint_changes, an_endpoint_that_is_dropped_ends_its_life_and_gets_nothing)
+TEST(endpoint_changes, a_dropped_endpoint_ends_its_incarnation_and_gets_no_work)
 {
     changing_table known;
     known.choose("a");
-    CHECK_TRUE((lives{{"e0", 1, std::nullopt}}) == known.table.drop_host("e0", known.now));
-    CHECK_TRUE(lives{} == known.table.drop_host("e0", known.now));
+    CHECK_TRUE((ended_list{{"e0", 1, std::nullopt}}) == known.table.drop_host("e0", known.now));
+    CHECK_TRUE(ended_list{} == known.table.drop_host("e0", known.now));
     CHECK_EQUAL(std::string("e1"), known.choose("a"));
     CHECK_TRUE((std::vector<std::string>{"e1"}) == known.table.addresses());
 }
 
-TEST(endpoint_changes, a_process_that_takes_over_tells_the_life_that_it_ended)
+TEST(endpoint_changes, a_replacing_process_ends_the_previous_incarnation)
 {
     changing_table known;
-    CHECK_TRUE((lives{{"e0", 1, 2}}) == known.table.set_host(host_at("e0", 2, "a"), known.now));
-    CHECK_TRUE(lives{} == known.table.set_host(host_at("e0", 2, "a"), known.now));
+    CHECK_TRUE((ended_list{{"e0", 1, 2}}) ==
+               known.table.set_host(host_at("e0", 2, "a"), known.now));
+    CHECK_TRUE(ended_list{} == known.table.set_host(host_at("e0", 2, "a"), known.now));
     CHECK_EQUAL(2U, known.table.incarnation_of("e0"));
 }
 
@@ -125,17 +126,17 @@
     CHECK_EQUAL(std::string("e1"), known.choose("a"));
 }
 
-TEST(endpoint_changes, a_whole_list_tells_all_lives_that_ended)
+TEST(endpoint_changes, a_complete_list_reports_all_ended_incarnations)
 {
     changing_table known;
     const auto ended = known.table.set_hosts({host_at("e1", 5, "a")}, known.now);
-    CHECK_TRUE((lives{{"e1", 1, 5}, {"e0", 1, std::nullopt}}) == ended);
+    CHECK_TRUE((ended_list{{"e1", 1, 5}, {"e0", 1, std::nullopt}}) == ended);
 }
 
-// An operator's stop is noticed, then the router is quiet for long. The store's list that still
-// names the stopped endpoint comes late, and a request that was sent there would be lost. What is
-// known of an address is kept from the moment it left the list, however long no list came before.
-TEST(endpoint_changes, what_is_known_of_an_address_is_kept_from_when_it_left_the_list)
+// Guards against a request sent to a stopped endpoint. Its leaving mark was set long ago, and a
+// late host list still contains it. The history must be retained from the moment the address left
+// the list, no matter how long the mark was set before.
+TEST(endpoint_changes, the_history_of_an_address_is_retained_from_its_removal_from_the_list)
 {
     changing_table known;
     known.table.mark_leaving("e0", 0, known.now);
@@ -146,7 +147,7 @@
     CHECK_TRUE(known.table.find("e0")->leaving);
 }
 
-TEST(endpoint_changes, a_life_that_ended_is_taken_back_when_that_is_forgotten)
+TEST(endpoint_changes, an_ended_incarnation_is_accepted_once_its_history_has_expired)
 {
     changing_table known;
     known.table.set_host(host_at("e0", 2, "a"), known.now);
@@ -160,7 +161,7 @@
 
 namespace {
 
-// Of the full range from the first trial on, where the library begins with the smallest values.
+// Uses the full range from the first trial on; by default the library starts with small values.
 int any_below(int bound)
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, bound));
@@ -191,7 +192,7 @@
     return *rc::gen::element<std::string>("s", "t");
 }
 
-// Of few names, so that one that follows another changes some parts and leaves others.
+// Uses few names, so that consecutive configurations differ in some parts and agree in others.
 configuration_ptr any_configuration()
 {
     configuration_builder builder;
@@ -232,9 +233,9 @@
     return chosen;
 }
 
-// One table is told each whole list and another what changed, and all else alike. A third one is
-// told whole lists too, but is asked nothing on the way: its routes are built from the lists, where
-// those of the others were there already and had to follow.
+// Three tables get the same events, but `complete` gets complete host lists and `incremental` gets
+// single changes. `unqueried` also gets complete lists but is not queried in between, so its routes
+// are built from the final state, while those of the others must have been updated.
 class twin_tables {
 public:
     twin_tables()
@@ -278,9 +279,9 @@
 
     void compare_answers()
     {
-        RC_ASSERT(this->whole.status(this->now) == this->changed.status(this->now));
-        RC_ASSERT(this->whole.addresses() == this->changed.addresses());
-        RC_ASSERT(this->whole.own_loads() == this->changed.own_loads());
+        RC_ASSERT(this->complete.status(this->now) == this->incremental.status(this->now));
+        RC_ASSERT(this->complete.addresses() == this->incremental.addresses());
+        RC_ASSERT(this->complete.own_loads() == this->incremental.own_loads());
         const auto random = ++this->draws;
         for (const auto* name : {"a", "b", "c"}) {
             this->compare_target(wanting(name, false), random);
@@ -290,32 +291,34 @@
         }
     }
 
-    void compare_with_unasked()
+    void compare_with_unqueried()
     {
-        RC_ASSERT(this->unasked.status(this->now) == this->changed.status(this->now));
-        RC_ASSERT(this->unasked.used_addresses(this->now) ==
-                  this->changed.used_addresses(this->now));
+        RC_ASSERT(this->unqueried.status(this->now) == this->incremental.status(this->now));
+        RC_ASSERT(this->unqueried.used_addresses(this->now) ==
+                  this->incremental.used_addresses(this->now));
         for (const auto* name : {"a", "b", "c"}) {
-            RC_ASSERT(this->unasked.choose(wanting(name, false), this->now, this->draws) ==
-                      this->changed.choose(wanting(name, false), this->now, this->draws));
+            RC_ASSERT(this->unqueried.choose(wanting(name, false), this->now, this->draws) ==
+                      this->incremental.choose(wanting(name, false), this->now, this->draws));
         }
     }
 
 private:
     void compare_target(const placement& wanted, std::uint64_t random)
     {
-        RC_ASSERT(this->whole.serves(wanted, this->now) == this->changed.serves(wanted, this->now));
-        RC_ASSERT(this->whole.choose(wanted, this->now, random) ==
-                  this->changed.choose(wanted, this->now, random));
-        RC_ASSERT(this->whole.used_addresses(this->now) == this->changed.used_addresses(this->now));
+        RC_ASSERT(this->complete.serves(wanted, this->now) ==
+                  this->incremental.serves(wanted, this->now));
+        RC_ASSERT(this->complete.choose(wanted, this->now, random) ==
+                  this->incremental.choose(wanted, this->now, random));
+        RC_ASSERT(this->complete.used_addresses(this->now) ==
+                  this->incremental.used_addresses(this->now));
     }
 
     template <typename Event>
     void on_all(Event event)
     {
-        event(this->whole);
-        event(this->changed);
-        event(this->unasked);
+        event(this->complete);
+        event(this->incremental);
+        event(this->unqueried);
     }
 
     void configure()
@@ -357,27 +360,27 @@
     void set(const endpoint_host& host)
     {
         this->listed.insert_or_assign(host.address, host);
-        this->compare_ended(this->changed.set_host(host, this->now));
+        this->compare_ended(this->incremental.set_host(host, this->now));
     }
 
     void drop(const std::string& address)
     {
         this->listed.erase(address);
-        this->compare_ended(this->changed.drop_host(address, this->now));
+        this->compare_ended(this->incremental.drop_host(address, this->now));
     }
 
-    // The lives that ended are those that a caller would find who keeps all.
-    void compare_ended(const lives& ended)
+    // The reported ended incarnations must match the difference between the lists.
+    void compare_ended(const ended_list& ended)
     {
-        const auto before = this->lives_of(this->whole);
+        const auto before = this->incarnations_of(this->complete);
         std::vector<endpoint_host> hosts;
         for (const auto& [address, host] : this->listed) {
             hosts.push_back(host);
         }
-        RC_ASSERT(this->whole.set_hosts(hosts, this->now) == ended);
-        this->unasked.set_hosts(hosts, this->now);
-        const auto after = this->lives_of(this->whole);
-        lives found;
+        RC_ASSERT(this->complete.set_hosts(hosts, this->now) == ended);
+        this->unqueried.set_hosts(hosts, this->now);
+        const auto after = this->incarnations_of(this->complete);
+        ended_list found;
         for (const auto& [address, incarnation] : before) {
             const auto next = after.find(address);
             if (next == after.end()) {
@@ -389,7 +392,7 @@
         RC_ASSERT(found == ended);
     }
 
-    static std::map<std::string, std::uint64_t> lives_of(const endpoint_table& table)
+    static std::map<std::string, std::uint64_t> incarnations_of(const endpoint_table& table)
     {
         std::map<std::string, std::uint64_t> present;
         for (const auto& address : table.addresses()) {
@@ -399,9 +402,9 @@
     }
 
     const endpoint_table_settings settings = any_settings();
-    endpoint_table whole{this->settings};
-    endpoint_table changed{this->settings};
-    endpoint_table unasked{this->settings};
+    endpoint_table complete{this->settings};
+    endpoint_table incremental{this->settings};
+    endpoint_table unqueried{this->settings};
     std::map<std::string, endpoint_host> listed;
     std::map<std::string, std::vector<work_class>> running;
     instant now{std::chrono::hours(1)};
@@ -410,7 +413,7 @@
 
 } // namespace
 
-TEST(endpoint_changes, changes_one_by_one_come_to_the_same_as_whole_lists)
+TEST(endpoint_changes, single_changes_have_the_same_result_as_complete_lists)
 {
     CHECK_TRUE(rc::check("same as whole lists", [] {
         constexpr int events = 60;
@@ -419,6 +422,6 @@
             twins.play_one_event();
             twins.compare_answers();
         }
-        twins.compare_with_unasked();
+        twins.compare_with_unqueried();
     }));
 }
--- a/decision/test/endpoint_table_test.cpp
+++ b/decision/test/endpoint_table_test.cpp
@@ -44,7 +44,7 @@
     return wanted;
 }
 
-// A table with the endpoints e0, e1, ... in zone osu, and a clock that the tests move.
+// A table with the endpoints e0, e1, ... in zone osu, and a manual clock.
 struct osu_table {
     osu_table(std::size_t count, std::uint32_t slots, endpoint_table_settings settings = {})
         : table((settings.zone = "osu", settings))
@@ -71,7 +71,7 @@
         return all;
     }
 
-    // Whether the endpoint is chosen where no other may be.
+    // Whether the endpoint is chosen when no other may be.
     bool takes(const std::string& address, placement wanted)
     {
         for (const auto& host : this->hosts) {
@@ -103,7 +103,7 @@
         this->end(address, result, first_token);
     }
 
-    // The endpoint's process is replaced by one of that incarnation.
+    // Replaces the endpoint's process by one of that incarnation.
     void restart(const std::string& address, std::uint64_t incarnation)
     {
         for (auto& host : this->hosts) {
@@ -138,10 +138,10 @@
 
 TEST_GROUP(endpoint_table_test){};
 
-TEST(endpoint_table_test, a_lagging_list_does_not_bring_a_leaving_host_back)
+TEST(endpoint_table_test, a_lagging_list_does_not_restore_a_leaving_host)
 {
-    // A caller is cut off by a planned stop. The endpoint refuses as leaving; the host list, which
-    // lags, still names it as live, and with the next list work would go there again.
+    // Guards against a caller cut off by a planned stop. The endpoint refuses as leaving, but the
+    // lagging host list still contains it as active and would direct work there again.
     osu_table known(2, 4);
     known.table.mark_leaving("e0", 0, known.now);
     known.table.set_hosts(known.hosts, known.now);
@@ -149,7 +149,7 @@
     CHECK_TRUE(known.table.find("e0")->leaving);
 }
 
-TEST(endpoint_table_test, a_leaving_host_stays_so_while_the_list_leaves_it_out)
+TEST(endpoint_table_test, a_leaving_host_stays_leaving_while_it_is_not_listed)
 {
     osu_table known(2, 4);
     known.table.mark_leaving("e0", 0, known.now);
@@ -183,7 +183,7 @@
     CHECK_EQUAL(5U, known.table.find("e0")->incarnation);
 }
 
-TEST(endpoint_table_test, a_draining_endpoint_gets_nothing_until_it_reports_otherwise)
+TEST(endpoint_table_test, a_draining_endpoint_gets_no_work_until_it_reports_otherwise)
 {
     osu_table known(2, 4);
     known.table.reported("e0", {0, 0, 8, {}, true}, known.now);
@@ -192,9 +192,9 @@
     CHECK_EQUAL(2U, known.chosen(a_lookup).size());
 }
 
-// An endpoint starts again while its earlier life's answer is under way: full, and draining. Taken
-// for the new life's, callers would go round an empty endpoint until the next report came.
-TEST(endpoint_table_test, a_report_of_an_earlier_life_says_nothing_of_the_new_one)
+// Guards against callers avoiding an idle endpoint. It restarts while a load report of its earlier
+// incarnation, full and draining, is in transit.
+TEST(endpoint_table_test, a_report_of_an_earlier_incarnation_is_ignored)
 {
     osu_table known(2, 16);
     known.restart("e0", 2);
@@ -204,15 +204,15 @@
     CHECK_TRUE((names{"e1"}) == known.chosen(a_lookup));
 }
 
-// The new life reports before the list names it: the life that is known here goes on as it did.
-TEST(endpoint_table_test, a_report_of_a_life_not_yet_listed_says_nothing_of_the_known_one)
+// A new incarnation reports before the list contains it; the known incarnation must not change.
+TEST(endpoint_table_test, a_report_of_an_incarnation_not_yet_listed_is_ignored)
 {
     osu_table known(2, 16);
     CHECK_FALSE(known.table.reported("e0", {16, 0, 16, {}, true, 2}, known.now));
     CHECK_EQUAL(2U, known.chosen(a_lookup).size());
 }
 
-TEST(endpoint_table_test, a_report_that_names_no_life_is_of_the_known_one)
+TEST(endpoint_table_test, a_report_without_an_incarnation_applies_to_the_known_one)
 {
     osu_table known(2, 16);
     CHECK_TRUE(known.table.reported("e0", {16, 0, 16, {}, true, 0}, known.now));
@@ -241,7 +241,7 @@
 
 TEST(endpoint_table_test, readings_leave_slots_to_lookups)
 {
-    // Counter lookups wait for minutes behind case readings, which have taken every slot.
+    // Guards against lookups waiting for minutes behind readings that occupy every slot.
     osu_table known(1, 4);
     known.start("e0", work_class::reading);
     CHECK_EQUAL(std::string("e0"), known.choose(a_reading));
@@ -273,10 +273,11 @@
     CHECK_TRUE((names{"e0"}) == known.chosen(a_lookup));
 }
 
-TEST(endpoint_table_test, readings_of_other_routers_count_by_the_own_mix)
+TEST(endpoint_table_test, other_routers_share_of_readings_is_assumed_to_equal_the_own_share)
 {
-    // Lookups wait in the engine's own queue. Each router keeps readings to half of the slots it
-    // offers, but nine routers offer more than the engine has; its report shows them as running.
+    // Guards against lookups waiting in the engine's queue. Each router limits readings to half of
+    // the slots that it uses, but nine routers together use more than the engine has. The engine's
+    // report shows the others' readings only as running requests.
     osu_table known(2, 16);
     known.start("e1", work_class::reading);
     known.table.reported("e0", {8, 0, 16, {}, false}, known.now);
@@ -284,11 +285,11 @@
     CHECK_TRUE(known.takes("e0", a_lookup));
 }
 
-// How many of 80 routers send a reading to an endpoint that reports so many requests, where all
-// that they have under way are readings.
+// How many of 80 routers send a reading to an endpoint that reports this many requests, when all of
+// their own requests are readings.
 static int routers_that_add_a_reading(double reported)
 {
-    int taken = 0;
+    int accepting = 0;
     for (std::uint64_t router = 0; router < 80; ++router) {
         endpoint_table_settings settings;
         settings.router_seed = router;
@@ -296,15 +297,15 @@
         known.start("e1", work_class::reading);
         known.table.reported("e0", {reported, 0, 16, {}, false}, known.now);
         known.table.reported("e1", {8, 0, 16, {}, false}, known.now);
-        taken += known.takes("e0", a_reading) ? 1 : 0;
+        accepting += known.takes("e0", a_reading) ? 1 : 0;
     }
-    return taken;
+    return accepting;
 }
 
 TEST(endpoint_table_test, a_slot_for_readings_that_all_routers_see_is_taken_by_few)
 {
-    // Lookups wait behind readings in the engine's queue. A reading has ended; eight routers learn
-    // it from their next reports and each sends one into the same slot.
+    // Guards against lookups waiting behind readings in the engine's queue. A reading has ended;
+    // eight routers see it in their next reports and each would send one to the same slot.
     CHECK_TRUE(routers_that_add_a_reading(7.0) >= 3);
     CHECK_TRUE(routers_that_add_a_reading(7.0) <= 25);
     CHECK_EQUAL(0, routers_that_add_a_reading(7.5));
@@ -321,10 +322,10 @@
     }
 }
 
-TEST(endpoint_table_test, a_report_is_not_trusted_without_what_was_sent_since)
+TEST(endpoint_table_test, requests_sent_since_a_report_are_added_to_it)
 {
-    // Callers wait in an engine's queue while another engine is idle. A report that was taken
-    // before this router sent eight requests says that the engine is empty.
+    // Guards against callers waiting in one engine's queue while another engine is idle. A report
+    // measured before this router sent eight requests shows the engine as empty.
     osu_table known(2, 64);
     known.run("e0", attempt_result::finished);
     known.now += std::chrono::milliseconds(3200);
@@ -333,7 +334,7 @@
     CHECK_FALSE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, a_report_that_was_overtaken_is_dropped)
+TEST(endpoint_table_test, a_report_that_arrives_out_of_order_is_dropped)
 {
     osu_table known(2, 64);
     known.table.reported("e0", {10, 0, 8, std::chrono::milliseconds(100), false}, known.now);
@@ -341,7 +342,7 @@
     CHECK_FALSE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, what_ended_since_a_report_no_longer_counts)
+TEST(endpoint_table_test, requests_that_ended_since_a_report_no_longer_count)
 {
     osu_table known(1, 64);
     known.start_many("e0", 10);
@@ -352,7 +353,7 @@
     CHECK_TRUE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, an_old_report_no_longer_holds_work_back)
+TEST(endpoint_table_test, an_expired_report_no_longer_limits_work)
 {
     osu_table known(1, 4);
     known.table.reported("e0", {10, 5, 8, {}, false}, known.now);
@@ -397,7 +398,7 @@
     DOUBLES_EQUAL(4.0, known.status_of("e0").limit, 0.5);
 }
 
-TEST(endpoint_table_test, lateness_that_no_caller_notices_lowers_no_limit)
+TEST(endpoint_table_test, imperceptible_lateness_does_not_lower_the_limit)
 {
     osu_table known(1, 16);
     for (int count = 0; count < 100; ++count) {
@@ -407,7 +408,7 @@
     DOUBLES_EQUAL(16.0, known.status_of("e0").limit, 1e-9);
 }
 
-TEST(endpoint_table_test, an_unreachable_endpoint_is_left_alone_then_tried_once)
+TEST(endpoint_table_test, an_unreachable_endpoint_is_ejected_then_tried_once)
 {
     osu_table known(2, 4);
     known.run("e0", attempt_result::unreachable);
@@ -420,7 +421,7 @@
     CHECK_EQUAL(2U, known.chosen(a_lookup).size());
 }
 
-TEST(endpoint_table_test, each_ejection_in_a_row_lasts_longer_until_the_endpoint_was_well_for_long)
+TEST(endpoint_table_test, consecutive_ejections_last_longer_until_the_endpoint_was_healthy_for_long)
 {
     osu_table known(1, 16);
     known.run("e0", attempt_result::unreachable);
@@ -437,7 +438,7 @@
     CHECK_FALSE(known.status_of("e0").ejected);
 }
 
-TEST(endpoint_table_test, one_failure_on_trial_is_enough_and_else_three_in_a_row)
+TEST(endpoint_table_test, one_failure_on_trial_ejects_and_otherwise_three_consecutive_ones)
 {
     osu_table known(2, 16);
     for (const auto result : {attempt_result::failed, attempt_result::failed,
@@ -451,7 +452,7 @@
     CHECK_TRUE(known.status_of("e0").ejected);
 }
 
-TEST(endpoint_table_test, a_new_process_at_the_address_starts_with_a_clean_record)
+TEST(endpoint_table_test, a_new_process_at_the_address_is_not_ejected)
 {
     osu_table known(1, 16);
     known.run("e0", attempt_result::unreachable);
@@ -460,10 +461,10 @@
     CHECK_TRUE(known.takes("e0", a_lookup));
 }
 
-// An endpoint crashes with six requests and starts again under its name. Their connections break
-// one by one afterwards. Counted on, they would keep work away from a process that is idle;
-// subtracted from it, they would hide what it has been sent since.
-TEST(endpoint_table_test, what_an_earlier_life_was_sent_counts_neither_for_nor_against_the_new_one)
+// An endpoint crashes with six requests in flight and restarts at its address. Their connections
+// break one by one afterwards. If they were still counted, they would keep work away from an idle
+// process; if they were subtracted from the new one, they would hide requests sent to it since.
+TEST(endpoint_table_test, attempts_at_an_earlier_incarnation_do_not_affect_the_new_one)
 {
     osu_table known(1, 16);
     known.start_many("e0", 6);
@@ -479,7 +480,8 @@
     CHECK_EQUAL(2U, known.table.own_loads()[0].incarnation);
 }
 
-TEST(endpoint_table_test, the_work_of_an_earlier_life_is_not_lightened_off_the_new_one)
+TEST(endpoint_table_test,
+     completed_work_of_an_earlier_incarnation_is_not_subtracted_from_the_new_one)
 {
     osu_table known(1, 16);
     known.start("e0");
@@ -489,9 +491,9 @@
     DOUBLES_EQUAL(100.0, known.table.own_loads()[0].work, 0.001);
 }
 
-// What part of the others' work is readings is taken to be as here. Readings of an earlier life
-// that were never taken off again would keep every other reading away from endpoints with room.
-TEST(endpoint_table_test, readings_of_an_earlier_life_are_held_no_longer)
+// The others' share of readings is assumed to equal the own share. Readings of an earlier
+// incarnation that were never removed would keep other readings away from endpoints with room.
+TEST(endpoint_table_test, readings_of_an_earlier_incarnation_no_longer_count)
 {
     osu_table known(2, 16);
     for (int number = 0; number < 6; ++number) {
@@ -504,9 +506,9 @@
     CHECK_TRUE(known.takes("e1", a_reading));
 }
 
-// Lookups of an earlier life that were never taken off again would make the others' work look like
-// lookups, and readings would fill the slots that lookups need.
-TEST(endpoint_table_test, lookups_of_an_earlier_life_are_held_no_longer)
+// Lookups of an earlier incarnation that were never removed would make the others' requests look
+// like lookups, and readings would fill the slots that lookups need.
+TEST(endpoint_table_test, lookups_of_an_earlier_incarnation_no_longer_count)
 {
     osu_table known(3, 16);
     known.start_many("e0", 8);
@@ -517,7 +519,7 @@
     CHECK_FALSE(known.takes("e2", a_reading));
 }
 
-TEST(endpoint_table_test, what_others_hold_at_an_earlier_life_counts_for_nothing)
+TEST(endpoint_table_test, peer_load_at_an_earlier_incarnation_does_not_count)
 {
     osu_table known(2, 16);
     known.restart("e0", 2);
@@ -527,9 +529,9 @@
     CHECK_TRUE((names{"e1"}) == known.chosen(a_lookup));
 }
 
-// A router hears of a restart before this one does. What it holds at the new life is no load of the
-// life that is known here, and counts as soon as the list names the new one.
-TEST(endpoint_table_test, what_others_hold_at_a_life_not_yet_listed_counts_once_it_is)
+// A peer learns of a restart before this router. Its load at the new incarnation does not count for
+// the known one, and counts once the list contains the new one.
+TEST(endpoint_table_test, peer_load_at_an_incarnation_not_yet_listed_counts_once_listed)
 {
     osu_table known(2, 16);
     known.table.peer_reported("ahead", {{"e0", 16, 9000.0, 2}}, known.now);
@@ -551,7 +553,7 @@
 
 namespace {
 
-// A table whose lists come in their order, as from a store.
+// A table with `lists_in_order`, as with a store.
 struct ordered_table : osu_table {
     ordered_table() : osu_table(2, 16, in_order()) { this->restart("e0", 1000); }
 
@@ -572,9 +574,9 @@
 
 } // namespace
 
-// The clock of an endpoint's host is set back and the endpoint starts again. Its number is lower;
-// passed over, it would get no work until its clock had caught up.
-TEST(endpoint_table_test, a_life_with_a_lower_number_begins_where_lists_come_in_order)
+// The clock of an endpoint's host is set back and the endpoint restarts with a lower incarnation.
+// If that were ignored, it would get no work until its clock had caught up.
+TEST(endpoint_table_test, with_ordered_lists_a_lower_incarnation_replaces_a_higher_one)
 {
     ordered_table known;
     known.run("e0", attempt_result::unreachable);
@@ -583,9 +585,9 @@
     CHECK_TRUE(known.takes("e0", a_lookup));
 }
 
-// A process writes its entry and dies; the store carries the write out seconds later, after the
-// entry of the process that replaced it. Taken for news, the dead one would be back.
-TEST(endpoint_table_test, a_late_word_of_a_dead_life_never_revives_it)
+// A process writes its entry and terminates; the store applies the write seconds later, after the
+// entry of the process that replaced it. The ended process must not become current again.
+TEST(endpoint_table_test, a_late_entry_of_an_ended_incarnation_never_restores_it)
 {
     ordered_table known;
     known.restart("e0", 2000);
@@ -596,31 +598,31 @@
     CHECK_EQUAL(400U, known.table.find("e0")->incarnation);
 }
 
-TEST(endpoint_table_test, a_dead_life_is_remembered_while_the_list_leaves_the_endpoint_out)
+TEST(endpoint_table_test, an_ended_incarnation_is_remembered_while_the_list_leaves_out_the_endpoint)
 {
     ordered_table known;
     known.restart("e0", 2000);
     known.list_without("e0");
     known.restart("e0", 1000);
     CHECK_FALSE(known.table.find("e0").has_value());
-    known.restart("e0", 2000); // removed and written again: the same life
+    known.restart("e0", 2000); // removed and written again: the same incarnation
     CHECK_TRUE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, the_leaving_of_an_earlier_life_does_not_bind_the_later_one)
+TEST(endpoint_table_test, the_leaving_mark_of_an_earlier_incarnation_does_not_apply_to_a_later_one)
 {
     ordered_table known;
     known.table.mark_leaving("e0", 1000, known.now);
     CHECK_FALSE(known.takes("e0", a_lookup));
     known.restart("e0", 2000);
     CHECK_TRUE(known.takes("e0", a_lookup));
-    known.table.mark_leaving("e0", 1000, known.now); // told late
+    known.table.mark_leaving("e0", 1000, known.now); // arrives late
     CHECK_TRUE(known.takes("e0", a_lookup));
     known.restart("e0", 400);
     CHECK_TRUE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, the_leaving_of_a_life_not_yet_listed_lifts_none)
+TEST(endpoint_table_test, the_leaving_mark_of_an_incarnation_not_yet_listed_keeps_the_present_mark)
 {
     ordered_table known;
     known.table.mark_leaving("e0", 1000, known.now);
@@ -628,7 +630,7 @@
     CHECK_FALSE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, a_leaving_binds_its_life_though_the_entry_was_gone_meanwhile)
+TEST(endpoint_table_test, a_leaving_mark_persists_while_the_entry_is_absent)
 {
     ordered_table known;
     known.table.mark_leaving("e0", 1000, known.now);
@@ -637,9 +639,9 @@
     CHECK_FALSE(known.takes("e0", a_lookup));
 }
 
-// An older writer says nothing of its start. All its entries are taken for one life, and so is one
-// that comes after entries that named a life.
-TEST(endpoint_table_test, a_host_of_no_known_incarnation_goes_on_with_the_last_life)
+// Older writers send no incarnation. All their entries count as one incarnation, and an entry
+// without one continues the last known one.
+TEST(endpoint_table_test, a_host_without_an_incarnation_keeps_the_last_known_one)
 {
     ordered_table known;
     known.start("e0");
@@ -653,11 +655,11 @@
     CHECK_FALSE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, attempts_that_fail_together_are_one_ejection)
+TEST(endpoint_table_test, attempts_that_fail_together_cause_one_ejection)
 {
-    // An engine that was replaced within seconds gets no work for much longer. Ten requests were
-    // under way when it stopped; each counted as an ejection, the wait would have doubled ten
-    // times.
+    // Guards against a replaced engine getting no work for much longer than its restart took. Ten
+    // requests were in flight when it stopped; if each caused an ejection, the ejection time would
+    // double ten times.
     osu_table known(1, 16);
     known.start_many("e0", 10);
     for (int count = 0; count < 10; ++count) {
@@ -678,10 +680,10 @@
     CHECK_EQUAL(std::string("e0"), known.choose());
 }
 
-TEST(endpoint_table_test, failing_endpoints_are_ejected_only_while_enough_are_left)
+TEST(endpoint_table_test, failing_endpoints_are_ejected_only_while_enough_remain)
 {
-    // A bad version fails on every endpoint. Were all of them ejected, the good versions that they
-    // also serve would have nowhere to run.
+    // A bad version fails on every endpoint. If all of them were ejected, the good versions that
+    // they also serve could not run.
     osu_table known(6, 4);
     for (const auto& host : known.hosts) {
         for (int count = 0; count < 3; ++count) {
@@ -707,11 +709,11 @@
     CHECK_TRUE((names{"e1", "e2"}) == known.chosen(a_lookup));
 }
 
-TEST(endpoint_table_test, silent_connections_do_not_blame_the_endpoint)
+TEST(endpoint_table_test, silent_connections_do_not_eject_the_endpoint)
 {
-    // All callers of an endpoint see their streams stop, since something on the way has lost its
-    // connections; the endpoint is well. Resumed on fresh connections, they go on. Ejecting it
-    // would move its load to the others for nothing.
+    // Guards against ejecting a healthy endpoint, which would move its load for nothing. A device
+    // on the way has lost its connections, so all of its streams stop; resumed on fresh connections
+    // they continue.
     osu_table known(2, 8);
     known.start_many("e0", 5);
     for (int count = 0; count < 5; ++count) {
@@ -736,7 +738,7 @@
     CHECK_FALSE(known.takes("e0", a_lookup));
 }
 
-TEST(endpoint_table_test, attempts_that_ended_otherwise_forgive_no_later_silence)
+TEST(endpoint_table_test, attempts_that_ended_otherwise_do_not_excuse_later_silence)
 {
     osu_table known(1, 16);
     known.start_many("e0", 4);
@@ -762,7 +764,7 @@
     CHECK_TRUE((names{"far"}) == known.chosen(a_lookup));
 }
 
-TEST(endpoint_table_test, a_router_uses_a_bounded_subset_that_fills_up_with_well_endpoints)
+TEST(endpoint_table_test, a_router_uses_a_bounded_subset_of_healthy_endpoints)
 {
     endpoint_table_settings settings;
     settings.subset_size = 8;
@@ -807,10 +809,10 @@
 
 namespace {
 
-// Plays random events on a table beside a count of what is under way.
-class played_table {
+// Applies random events to a table and tracks the requests in flight.
+class random_events_table {
 public:
-    void play_one_event()
+    void apply_random_event()
     {
         this->known.now += std::chrono::milliseconds(*rc::gen::inRange(0, 800));
         const auto address = "e" + std::to_string(*rc::gen::inRange(0, 5));
@@ -874,15 +876,15 @@
 TEST(endpoint_table_test, no_endpoint_that_is_leaving_ejected_avoided_or_full_is_chosen)
 {
     CHECK_TRUE(rc::check("choice", [] {
-        played_table played;
+        random_events_table table;
         for (int event = 0; event < 150; ++event) {
-            played.play_one_event();
+            table.apply_random_event();
         }
     }));
 }
 
-// Two routers fill endpoints that neither could choose well by its own work alone.
-TEST(endpoint_table_test, what_other_routers_hold_counts_like_own_work)
+// Guards against two routers overloading endpoints that neither could judge by its own load alone.
+TEST(endpoint_table_test, load_of_other_routers_counts_like_own_load)
 {
     osu_table known(2, 16);
     known.table.peer_reported("other", {{"e0", 6, 600.0, 1}}, known.now);
@@ -891,8 +893,8 @@
     CHECK_TRUE((names{"e0"}) == known.chosen(a_lookup));
 }
 
-// A router that fell silent may be dead, and its callers elsewhere.
-TEST(endpoint_table_test, what_a_silent_router_held_counts_no_longer)
+// A silent router may have terminated, and its callers may have moved elsewhere.
+TEST(endpoint_table_test, load_of_a_silent_router_no_longer_counts)
 {
     osu_table known(2, 16);
     known.table.peer_reported("other", {{"e0", 6, 600.0, 1}}, known.now);
@@ -900,7 +902,7 @@
     CHECK_EQUAL(2U, known.chosen(a_lookup).size());
 }
 
-TEST(endpoint_table_test, own_loads_name_what_is_held_and_nothing_else)
+TEST(endpoint_table_test, own_loads_contain_only_endpoints_in_use)
 {
     osu_table known(3, 16);
     known.start_many("e1", 2);
@@ -912,9 +914,9 @@
 
 namespace {
 
-// A table that weighs all: e0 and e1 in the router's zone osu, far in another one.
-struct weighing_table : osu_table {
-    weighing_table() : osu_table(2, 64, compares_all())
+// A table with `compares_all`: e0 and e1 in the router's zone osu, `far` in another one.
+struct comparing_table : osu_table {
+    comparing_table() : osu_table(2, 64, compares_all())
     {
         this->hosts.push_back(host_at("far", "tema"));
         this->table.set_hosts(this->hosts, this->now);
@@ -929,7 +931,7 @@
         return settings;
     }
 
-    void tell(std::uint32_t at_e0, std::uint32_t at_e1, std::uint32_t at_far)
+    void report_peer_load(std::uint32_t at_e0, std::uint32_t at_e1, std::uint32_t at_far)
     {
         this->table.peer_reported(
             "other", {{"e0", at_e0, 0.0, 1}, {"e1", at_e1, 0.0, 1}, {"far", at_far, 0.0, 1}},
@@ -939,18 +941,18 @@
 
 } // namespace
 
-TEST(endpoint_table_test, where_all_are_weighed_the_least_loaded_is_taken)
+TEST(endpoint_table_test, comparing_all_endpoints_chooses_the_least_loaded)
 {
-    weighing_table known;
-    known.tell(5, 4, 1);
+    comparing_table known;
+    known.report_peer_load(5, 4, 1);
     CHECK_TRUE((names{"e1"}) == known.chosen(a_lookup));
-    known.tell(60, 60, 1);
+    known.report_peer_load(60, 60, 1);
     CHECK_TRUE((names{"far"}) == known.chosen(a_lookup));
 }
 
 namespace {
 
-// A prompt of two shared parts; reading the second takes half of what a full endpoint bears.
+// A prompt of two shared parts; processing the second takes half of a full endpoint's capacity.
 placement shared_prompt()
 {
     placement wanted = a_lookup;
@@ -961,49 +963,48 @@
 
 } // namespace
 
-// Nobody has sent the prompt anywhere. Routers that went by chance would have it read everywhere.
+// No router has sent the prompt yet. If routers chose at random, every endpoint would process it.
 TEST(endpoint_table_test, all_routers_send_a_new_prompt_to_the_same_endpoint)
 {
-    weighing_table known;
-    known.tell(0, 0, 0);
+    comparing_table known;
+    known.report_peer_load(0, 0, 0);
     CHECK_EQUAL(1U, known.chosen(shared_prompt()).size());
 }
 
-// The load that an endpoint may have above the others' is what reading anew would cost, and no
-// more.
-TEST(endpoint_table_test, an_endpoint_that_has_read_a_prompt_is_worth_a_wait)
+// The accepted extra load is at most the cost of processing the prompt again.
+TEST(endpoint_table_test, an_endpoint_with_a_cached_prompt_is_preferred_despite_more_load)
 {
-    weighing_table known;
+    comparing_table known;
     known.table.started("e1", work_class::lookup, 0.0, shared_prompt().parts, known.now);
-    known.tell(0, 20, 0);
+    known.report_peer_load(0, 20, 0);
     CHECK_TRUE((names{"e1"}) == known.chosen(shared_prompt()));
     known.table.peer_reported("other", {{"e0", 0, 0.0, 1}, {"e1", 20, 3 * 14.0 * 64, 1}},
                               known.now);
     CHECK_FALSE((names{"e1"}) == known.chosen(shared_prompt()));
 }
 
-TEST(endpoint_table_test, what_another_router_holds_there_has_been_read_there)
+TEST(endpoint_table_test, prompt_parts_of_peers_requests_are_cached_there)
 {
-    weighing_table known;
+    comparing_table known;
     known.table.peer_reported("other", {{"e0", 1, 0.0, 1, {11, 12}}, {"e1", 1, 0.0, 1}}, known.now);
     CHECK_TRUE((names{"e0"}) == known.chosen(shared_prompt()));
     DOUBLES_EQUAL(0.0, known.table.cold_work_at("e0", shared_prompt().parts, known.now), 0.001);
     DOUBLES_EQUAL(672.0, known.table.cold_work_at("e1", shared_prompt().parts, known.now), 0.001);
 }
 
-// An engine finds a part only behind all the parts before it.
-TEST(endpoint_table_test, a_part_behind_one_that_is_missing_is_read_again)
+// An engine can use a cached part only if all parts before it are cached.
+TEST(endpoint_table_test, a_part_behind_an_uncached_part_is_processed_again)
 {
-    weighing_table known;
+    comparing_table known;
     known.table.peer_reported("other", {{"e0", 1, 0.0, 1, {12}}, {"e1", 1, 0.0, 1, {11}}},
                               known.now);
     DOUBLES_EQUAL(672.0, known.table.cold_work_at("e0", shared_prompt().parts, known.now), 0.001);
     DOUBLES_EQUAL(448.0, known.table.cold_work_at("e1", shared_prompt().parts, known.now), 0.001);
 }
 
-TEST(endpoint_table_test, what_an_earlier_life_has_read_is_gone)
+TEST(endpoint_table_test, the_cache_of_an_earlier_incarnation_is_lost)
 {
-    weighing_table known;
+    comparing_table known;
     known.table.started("e0", work_class::lookup, 0.0, shared_prompt().parts, known.now);
     known.hosts[0].incarnation = 2;
     known.table.set_hosts(known.hosts, known.now);
@@ -1012,9 +1013,9 @@
     DOUBLES_EQUAL(672.0, known.table.cold_work_at("e0", shared_prompt().parts, known.now), 0.001);
 }
 
-TEST(endpoint_table_test, what_was_read_long_ago_is_read_again)
+TEST(endpoint_table_test, a_part_processed_long_ago_is_processed_again)
 {
-    weighing_table known;
+    comparing_table known;
     known.table.started("e0", work_class::lookup, 0.0, shared_prompt().parts, known.now);
     const auto parts = shared_prompt().parts;
     DOUBLES_EQUAL(0.0, known.table.cold_work_at("e0", parts, known.now + std::chrono::seconds(10)),
@@ -1025,11 +1026,10 @@
         672.0, known.table.cold_work_at("e0", parts, known.now + std::chrono::seconds(30)), 0.001);
 }
 
-// Two requests share a part, and one of them ends: the others hear of the part as long as any is
-// there.
-TEST(endpoint_table_test, own_loads_name_the_parts_that_are_in_use)
+// Two requests share a part and one of them ends: the part is reported while any request uses it.
+TEST(endpoint_table_test, own_loads_contain_the_parts_in_use)
 {
-    weighing_table known;
+    comparing_table known;
     known.table.started("e0", work_class::lookup, 1.0, {{11, 1.0}}, known.now);
     known.table.started("e0", work_class::lookup, 1.0, {{11, 1.0}, {12, 1.0}}, known.now);
     CHECK_TRUE((std::vector<std::uint64_t>{11, 12}) == known.table.own_loads().at(0).parts);
@@ -1038,11 +1038,11 @@
     CHECK_TRUE((std::vector<std::uint64_t>{11}) == known.table.own_loads().at(0).parts);
 }
 
-// Both endpoints hold as much, one many short answers, the other one long prompt. A prompt that
-// takes long to read would hold up all those answers.
-TEST(endpoint_table_test, where_all_are_weighed_a_long_prompt_keeps_away_from_many_answers)
+// Both endpoints have the same load, one from many short answers, the other from one long prompt. A
+// prompt that takes long to process would delay all those answers.
+TEST(endpoint_table_test, comparing_all_endpoints_keeps_a_long_prompt_away_from_many_answers)
 {
-    weighing_table known;
+    comparing_table known;
     known.table.peer_reported(
         "other", {{"e0", 12, 0.0, 1}, {"e1", 1, 11 * 14.0, 1}, {"far", 64, 0.0, 1}}, known.now);
     placement prompt = a_lookup;
@@ -1053,8 +1053,8 @@
     CHECK_EQUAL(2U, known.chosen(question).size());
 }
 
-// All routers send to one endpoint. When it is lost, all of them go on with the same next one.
-TEST(endpoint_table_test, packed_requests_go_to_one_endpoint_and_to_the_next_when_it_is_lost)
+// All routers use the same endpoint, and the same next one when it is lost.
+TEST(endpoint_table_test, concentrated_requests_go_to_one_endpoint_and_to_the_next_when_it_is_lost)
 {
     osu_table one(8, 16);
     endpoint_table_settings seeded;
@@ -1075,8 +1075,9 @@
     DOUBLES_EQUAL(7.0, one.table.concentrated_requests("reader-1", one.now), 0.001);
 }
 
-// Guards against requests that wait to be read, and answers of an earlier life, taken for load.
-TEST(endpoint_table_test, only_answers_that_have_begun_are_written)
+// Guards against requests whose prompt is not processed yet, and answers of an earlier incarnation,
+// counting as load.
+TEST(endpoint_table_test, only_answers_that_have_begun_count_as_being_written)
 {
     osu_table known(1, 16);
     known.start_many("e0", 4);
@@ -1084,7 +1085,8 @@
     DOUBLES_EQUAL(3.0 / 16.0, known.table.writing_per_slot("e0", 2), 0.001);
     known.table.answer_began("e0", 1);
     DOUBLES_EQUAL(4.0 / 16.0, known.table.writing_per_slot("e0", 2), 0.001);
-    DOUBLES_EQUAL(16.0 / 16.0, known.table.writing_per_slot("e0", 8), 0.001); // two of eight heard
+    DOUBLES_EQUAL(16.0 / 16.0, known.table.writing_per_slot("e0", 8),
+                  0.001); // two of eight routers report
     known.table.answer_ended("e0", 1);
     LONGS_EQUAL(0, known.table.own_loads().at(0).writing);
     known.table.answer_began("e0", 1);
@@ -1093,8 +1095,8 @@
     DOUBLES_EQUAL(0.0, known.table.writing_per_slot("e0", 2), 0.001);
 }
 
-// Guards against a trial under load that starts over when the endpoint that it had lost comes back.
-TEST(endpoint_table_test, packed_requests_stay_where_they_are_when_a_lost_endpoint_comes_back)
+// Guards against a load test that starts over when the endpoint that it had lost returns.
+TEST(endpoint_table_test, concentrated_requests_stay_when_a_lost_endpoint_returns)
 {
     osu_table known(8, 16);
     placement concentrated = a_lookup;
--- a/decision/test/rollout_dispatch_test.cpp
+++ b/decision/test/rollout_dispatch_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 struct fleet_plan {
-    bool begun = true;
+    bool has_rollout = true;
     std::string served = "adjudicator"; // model whose versions the engines serve
     bool fills_endpoint = false;
     bool has_old = true;
@@ -41,7 +41,7 @@
     plan.fill_ppm = wanted.fill_ppm;
     configuration_builder builder;
     builder.add(deposits).add(engines);
-    if (wanted.begun) {
+    if (wanted.has_rollout) {
         builder.add(plan);
     }
     for (const std::string name : {"adjudicator-1", "adjudicator-2"}) {
@@ -79,7 +79,7 @@
         this->router.on_hosts(hosts, this->now);
     }
 
-    // A long answer to a short prompt, which any endpoint could go on with.
+    // A request with a long answer and a short prompt that any endpoint may resume.
     start_attempt arrive_long()
     {
         arrival request;
@@ -97,7 +97,7 @@
         return this->started();
     }
 
-    // The start that the last event led to; an empty version where it led to none.
+    // The attempt started by the last event; its version is empty if none was started.
     start_attempt started()
     {
         start_attempt found;
@@ -151,8 +151,8 @@
     LONGS_EQUAL(1, router.rollouts().at(0).spent);
 }
 
-// The new version is not loaded yet: endpoints refuse its runs. Each refusal ran nothing and must
-// not use up the step's callers, nor leave the caller without an answer.
+// The new version is not loaded yet, so endpoints refuse its runs. Refused runs must not use up the
+// step's callers, nor leave the caller without an answer.
 TEST(rollout_dispatch_test, a_caller_that_the_new_versions_endpoints_refuse_goes_to_the_old)
 {
     begin();
@@ -172,7 +172,7 @@
     LONGS_EQUAL(0, router.rollouts().at(0).spent);
 }
 
-TEST(rollout_dispatch_test, good_ends_count_and_callers_beyond_the_grant_stay_on_the_old_version)
+TEST(rollout_dispatch_test, good_results_count_and_callers_beyond_the_grant_stay_on_the_old_version)
 {
     begin();
     for (const char* expected : {"adjudicator-2", "adjudicator-2", "adjudicator-1"}) {
@@ -184,7 +184,7 @@
     LONGS_EQUAL(0, router.rollouts().at(0).left);
 }
 
-// An endpoint that cannot be reached in mid-run says nothing of the version that it ran.
+// An endpoint that becomes unreachable during a run gives no evidence on the version.
 TEST(rollout_dispatch_test, an_unreachable_endpoint_is_no_evidence_against_the_version)
 {
     begin();
@@ -195,8 +195,8 @@
     LONGS_EQUAL(0, router.rollouts().at(0).seen.total());
 }
 
-// The version is to show whether it bears a full endpoint. Long answers add up there, at the size
-// of model that takes longest; short ones stay with the old version and wait for nothing.
+// A load test of the new version on one full endpoint. Long answers accumulate there, at the model
+// size that takes longest; short ones stay with the old version and are not delayed.
 TEST(rollout_dispatch_test, long_answers_fill_one_endpoint_of_the_new_version)
 {
     begin();
@@ -211,8 +211,9 @@
     CHECK_TRUE(router.long_arrival_rate("adjudicator") > 0.0);
 }
 
-// Guards against a request that is refused by one full endpoint after the other for a trial's sake.
-TEST(rollout_dispatch_test, a_request_that_the_filled_endpoint_refused_goes_to_any_other)
+// Guards against a request that is refused by one full endpoint after the other because of a load
+// test.
+TEST(rollout_dispatch_test, a_request_refused_by_the_filled_endpoint_goes_to_any_other)
 {
     begin();
     router.on_configuration(make_configuration({true, "adjudicator", true}), now);
@@ -220,11 +221,11 @@
     const auto second = end(first, attempt_result::refused, false);
     CHECK_TRUE(first.address != second.address);
     CHECK_EQUAL(std::string("adjudicator-2"), second.version);
-    CHECK_EQUAL(0U, second.size); // as any other request, and not as one that fills
+    CHECK_EQUAL(0U, second.size); // like an ordinary request, not as part of the load test
 }
 
-// Guards against callers who wait behind all others for the sake of a trial.
-TEST(rollout_dispatch_test, a_filled_endpoint_that_is_full_gets_no_more)
+// Guards against callers who wait behind all others because of a load test.
+TEST(rollout_dispatch_test, a_filled_endpoint_at_its_limit_gets_no_more_requests)
 {
     begin();
     router.on_configuration(make_configuration({true, "adjudicator", true}), now);
@@ -238,8 +239,9 @@
     LONGS_EQUAL(0, counts_from(router.rollouts().at(0).under_load, 1).total());
 }
 
-// Guards against all callers of a large fleet at one endpoint, before anyone has heard of the rest.
-TEST(rollout_dispatch_test, a_part_of_the_long_answers_fills_the_endpoint)
+// Guards against all callers of a large fleet at one endpoint before the routers have received each
+// other's load reports.
+TEST(rollout_dispatch_test, only_the_configured_share_of_long_answers_fills_the_endpoint)
 {
     begin();
     fleet_plan wanted{true, "adjudicator", true};
@@ -255,8 +257,8 @@
     CHECK_COMPARE(moved, <, 130);
 }
 
-// The filled endpoint says nothing for long, where one of a good version goes on answering: it is
-// several times too slow. The request goes on elsewhere.
+// The filled endpoint sends nothing for a time in which a good version would send data: the version
+// is several times too slow. The request continues elsewhere.
 TEST(rollout_dispatch_test, the_silence_of_a_filled_endpoint_is_evidence)
 {
     begin();
@@ -267,9 +269,9 @@
     LONGS_EQUAL(1, router.rollouts().at(0).seen.bad);
 }
 
-// All routers fill one endpoint at once. Its queue is longer than anyone waits for a first sign,
-// and the version is a good one.
-TEST(rollout_dispatch_test, the_silence_of_a_filled_endpoint_with_a_long_queue_is_none)
+// All routers fill one endpoint at once. Its queue is longer than the wait for the first data,
+// although the version is good.
+TEST(rollout_dispatch_test, the_silence_of_a_filled_endpoint_with_a_long_queue_is_no_evidence)
 {
     begin();
     router.on_configuration(make_configuration({true, "adjudicator", true}), now);
@@ -290,8 +292,8 @@
     LONGS_EQUAL(1, router.rollouts().at(0).seen.bad);
 }
 
-// Sessions move by their names, whether or not an endpoint of the new version is there yet. Until
-// one is, they are served by the old version and not refused.
+// Sessions are assigned by their keys even if no endpoint serves the new version yet. Until one
+// does, they are served by the old version and not refused.
 TEST(rollout_dispatch_test, sessions_stay_on_the_old_version_while_no_pool_serves_the_new)
 {
     begin("adjudicator-1");
@@ -299,12 +301,12 @@
     CHECK_EQUAL(std::string("adjudicator-1"), arrive_long().version);
 }
 
-// All callers of a team name the same session, and it is one of the sample that moves early: all of
-// their requests go to the new version, which always fails. One router of ninety that sees only its
-// own part of it stops after a handful, and each caller is answered by the old version.
-TEST(rollout_dispatch_test, one_session_of_all_callers_is_taken_off_a_bad_version_at_once)
+// All callers of a team use the same session, which is in the sample that moves early, and the new
+// version always fails. One of ninety routers must stop after a few requests on its own evidence,
+// and each caller is answered by the old version.
+TEST(rollout_dispatch_test, a_session_shared_by_all_callers_is_moved_off_a_bad_version_at_once)
 {
-    constexpr int handful = 10;
+    constexpr int max_on_new = 10;
     constexpr int callers = 100;
     begin();
     router.on_fleet(0, 90);
@@ -322,13 +324,13 @@
         end(attempt, attempt_result::finished, false);
     }
     CHECK_TRUE(on_new > 0);
-    CHECK_TRUE(on_new <= handful);
+    CHECK_TRUE(on_new <= max_on_new);
     CHECK_TRUE(router.rollouts().at(0).tripped);
 }
 
-// As above, for a session that is not of the sample: none of its requests moves early, however many
+// As above, for a session that is not in the sample: none of its requests moves early, however many
 // there are.
-TEST(rollout_dispatch_test, one_session_of_all_callers_stays_whole_on_the_old_version)
+TEST(rollout_dispatch_test, a_session_shared_by_all_callers_stays_completely_on_the_old_version)
 {
     constexpr int callers = 100;
     begin();
@@ -342,8 +344,8 @@
     }
 }
 
-// The new version answers rightly, and writes several times as slowly. First pieces come late for
-// many reasons, so only the pace of what is written tells.
+// The new version answers correctly but writes several times as slowly. First chunks are late for
+// many reasons, so only the pace after them is evidence.
 TEST(rollout_dispatch_test, a_stream_that_is_written_slowly_is_evidence_of_slowness)
 {
     begin();
@@ -362,7 +364,8 @@
     LONGS_EQUAL(2, router.rollouts().at(0).speed.total());
 }
 
-// An endpoint that is being filled reads a prompt in each step. That is no fault of the version.
+// An endpoint that is being filled processes a prompt in each step, which slows its answers. That
+// is no fault of the version.
 TEST(rollout_dispatch_test, the_pace_at_a_filled_endpoint_is_no_evidence)
 {
     begin();
@@ -381,7 +384,7 @@
     LONGS_EQUAL(0, router.rollouts().at(0).speed.total());
 }
 
-// Guards against runs that failed under load and are counted among those of an idle endpoint.
+// Guards against runs that failed under load being counted as runs on an idle endpoint.
 TEST(rollout_dispatch_test, a_run_at_a_filled_endpoint_counts_by_its_load_when_it_was_sent)
 {
     begin();
@@ -401,10 +404,9 @@
     LONGS_EQUAL(2, counts_from(seen, 0).total());
 }
 
-// All endpoints are gone, and only the new version is still named. There is nothing to choose
-// between, and the request is refused; a router that looked for another version would do so for
-// ever.
-TEST(rollout_dispatch_test, a_request_is_refused_where_only_a_new_version_without_endpoints_is_left)
+// Guards against an endless search for a version: all endpoints are gone and only the new version
+// is still configured, so the request must be refused.
+TEST(rollout_dispatch_test, a_request_is_refused_if_only_a_new_version_without_endpoints_remains)
 {
     begin();
     router.on_hosts({}, now);
--- a/decision/test/rollout_evidence_test.cpp
+++ b/decision/test/rollout_evidence_test.cpp
@@ -25,10 +25,10 @@
     LONGS_EQUAL(3, load_level(0.46));
     LONGS_EQUAL(4, load_level(0.5));
     LONGS_EQUAL(7, load_level(1.0));
-    LONGS_EQUAL(7, load_level(40.0)); // by what others told some time ago
+    LONGS_EQUAL(7, load_level(40.0)); // by outdated reports of peers
 }
 
-TEST(load_counts, runs_from_a_level_on_leave_out_those_below)
+TEST(load_counts, counts_from_a_level_exclude_lower_levels)
 {
     load_counts seen{};
     seen.at(2) = counts(30, 0);
@@ -43,7 +43,7 @@
     sequential_test test{error_guard{}};
 };
 
-TEST(rollout_evidence_test, its_thresholds_are_those_of_walds_theory)
+TEST(rollout_evidence_test, thresholds_follow_walds_formulas)
 {
     DOUBLES_EQUAL(std::log(0.99 / 0.01), test.rejects_from(), 1e-9);
     DOUBLES_EQUAL(std::log(0.01 / 0.99), test.accepts_from(), 1e-9);
@@ -51,8 +51,9 @@
     DOUBLES_EQUAL(std::log(0.95 / 0.99), test.step_of(true), 1e-9);
 }
 
-// By hand: log 99 / log 5 = 2.86 errors reject, log 99 / log(99/95) = 111.4 good ends accept.
-TEST(rollout_evidence_test, errors_alone_reject_with_the_third_and_good_ends_accept_with_the_112th)
+// Calculated by hand: log 99 / log 5 = 2.86 errors reject, log 99 / log(99/95) = 111.4 good results
+// accept.
+TEST(rollout_evidence_test, three_errors_reject_and_112_good_results_accept)
 {
     CHECK_TRUE(test.judge(counts(0, 2)) == test_verdict::open);
     CHECK_TRUE(test.judge(counts(0, 3)) == test_verdict::rejected);
@@ -60,17 +61,17 @@
     CHECK_TRUE(test.judge(counts(112, 0)) == test_verdict::accepted);
 }
 
-TEST(rollout_evidence_test, good_ends_put_a_rejection_off_for_as_long_as_they_outweigh_an_error)
+TEST(rollout_evidence_test, good_results_delay_a_rejection_while_they_outweigh_an_error)
 {
     CHECK_TRUE(test.judge(counts(10, 3)) == test_verdict::open);
     CHECK_TRUE(test.judge(counts(10, 4)) == test_verdict::rejected);
 }
 
-// Versions at the base rate and at the bad rate are judged to the end by drawn seeds. Wald's bounds
-// hold for the sum of both errors; the counts allow for the spread of 400 trials.
-TEST(rollout_evidence_test, it_is_wrong_as_seldom_as_it_was_asked_to_be)
+// Tests versions at the base rate and at the bad rate with a pseudo-random sequence. Wald's bounds
+// apply to the sum of both errors; the limits allow for the variance of 400 trials.
+TEST(rollout_evidence_test, error_probabilities_stay_within_their_configured_bounds)
 {
-    const auto wrongs = [this](double rate, test_verdict wrong) {
+    const auto wrong_verdicts = [this](double rate, test_verdict wrong) {
         std::uint64_t state = 7;
         int count = 0;
         for (int trial = 0; trial < 400; ++trial) {
@@ -84,22 +85,22 @@
         }
         return count;
     };
-    CHECK_TRUE(wrongs(0.01, test_verdict::rejected) <= 12);
-    CHECK_TRUE(wrongs(0.05, test_verdict::accepted) <= 12);
+    CHECK_TRUE(wrong_verdicts(0.01, test_verdict::rejected) <= 12);
+    CHECK_TRUE(wrong_verdicts(0.05, test_verdict::accepted) <= 12);
 }
 
-// A version runs well for a million answers and then fails each. A test over all of its answers
-// would need thousands of failures to turn; the watch takes as many as for a new version.
-TEST(rollout_evidence_test, a_watch_trips_as_soon_after_a_long_good_time_as_without_one)
+// A version runs well for a million answers and then always fails. A test over all of its answers
+// would need thousands of failures; the CUSUM test needs as many as for a new version.
+TEST(rollout_evidence_test, a_cusum_test_trips_as_soon_after_many_good_results_as_without_any)
 {
     const auto errors_until_tripped = [this](int good) {
-        cusum_test watch;
+        cusum_test cusum;
         for (int i = 0; i < good; ++i) {
-            watch.on_end(test, true);
+            cusum.on_end(test, true);
         }
         int errors = 0;
-        while (!watch.is_tripped()) {
-            watch.on_end(test, false);
+        while (!cusum.is_tripped()) {
+            cusum.on_end(test, false);
             ++errors;
         }
         return errors;
@@ -108,7 +109,7 @@
     LONGS_EQUAL(13, errors_until_tripped(1'000'000));
 }
 
-TEST(rollout_evidence_test, more_errors_never_speak_for_a_version)
+TEST(rollout_evidence_test, more_errors_never_lower_the_log_ratio)
 {
     const bool held = rc::check("more errors, no lower ratio", [this] {
         const auto good = *rc::gen::inRange<std::uint64_t>(0, 5000);
--- a/decision/test/rollout_exposure_test.cpp
+++ b/decision/test/rollout_exposure_test.cpp
@@ -40,12 +40,12 @@
     return builder.build();
 }
 
-// One router that sees roll-outs come and is asked for versions.
+// One router that receives rollouts and chooses versions.
 struct router_model {
     selector allowed = selector().require("model", {"adjudicator"});
     rollout_exposure exposure;
     configuration_ptr current;
-    rollout_context note;
+    rollout_context context;
     std::uint64_t session_key = 0;
 
     explicit router_model(std::size_t rank = 0, std::size_t size = 1)
@@ -54,7 +54,7 @@
         this->exposure.on_configuration(*configuration_builder().build());
     }
 
-    void see(const rollout& plan)
+    void apply(const rollout& plan)
     {
         this->current = make_current(plan, this->allowed);
         this->exposure.on_configuration(*this->current);
@@ -70,24 +70,24 @@
         for (const auto& name : this->exposure.tripped()) {
             question.excluded.push_back(name);
         }
-        return this->exposure.choose(question, this->note);
+        return this->exposure.choose(question, this->context);
     }
 
-    // Sends so many callers; how many of them met the new version.
+    // Sends this many callers and returns how many of them got the new version.
     std::uint64_t send(std::uint64_t callers, bool good = true)
     {
-        std::uint64_t met = 0;
+        std::uint64_t exposed = 0;
         for (std::uint64_t i = 0; i < callers; ++i) {
             const auto chosen = this->ask();
             if (!chosen.exposed_by.empty()) {
                 this->exposure.spend(chosen.exposed_by);
             }
             if (chosen.answer.version == "adjudicator-2") {
-                ++met;
+                ++exposed;
                 this->exposure.on_end("adjudicator-2", good);
             }
         }
-        return met;
+        return exposed;
     }
 };
 
@@ -98,13 +98,13 @@
 TEST(rollout_exposure_test, a_step_sends_its_callers_to_the_new_version_and_the_rest_to_the_old)
 {
     router_model router;
-    router.see(make_plan(0));
+    router.apply(make_plan(0));
     LONGS_EQUAL(25, router.send(1000));
-    router.see(make_plan(1));
+    router.apply(make_plan(1));
     LONGS_EQUAL(75, router.send(1000));
 }
 
-TEST(rollout_exposure_test, the_parts_of_all_routers_add_up_to_the_grant)
+TEST(rollout_exposure_test, the_shares_of_all_routers_add_up_to_the_grant)
 {
     const bool held = rc::check("shares add up", [] {
         const auto callers = *rc::gen::inRange<std::uint64_t>(0, 100'000);
@@ -118,66 +118,67 @@
     CHECK_TRUE(held);
 }
 
-// Any fleet, any traffic, steps that come though nothing was spent, routers that start in between:
-// the callers that met a version that fails always are never more than the last step's grant.
-TEST(rollout_exposure_test, a_version_that_always_fails_never_meets_more_callers_than_granted)
+// For any fleet and traffic, steps that begin although the last grant is unused, and routers that
+// start in between: the number of callers exposed to a version that always fails never exceeds the
+// last step's grant.
+TEST(rollout_exposure_test, a_version_that_always_fails_never_gets_more_callers_than_granted)
 {
     const bool held = rc::check("never more than the grant", [] {
         const auto size = *rc::gen::inRange<std::size_t>(1, 40);
-        const auto starts_late = *rc::gen::inRange<std::size_t>(0, size + 1);
+        const auto restarted_rank = *rc::gen::inRange<std::size_t>(0, size + 1);
         const auto last_step = *rc::gen::inRange<std::uint32_t>(0, 5);
         std::vector<router_model> routers;
         for (std::size_t rank = 0; rank < size; ++rank) {
             routers.emplace_back(rank, size);
         }
-        std::uint64_t met = 0;
+        std::uint64_t exposed = 0;
         for (std::uint32_t step = 0; step <= last_step; ++step) {
             for (std::size_t rank = 0; rank < size; ++rank) {
-                if (rank == starts_late && step == 1) {
-                    routers[rank].exposure = rollout_exposure(); // a new process in its place
+                if (rank == restarted_rank && step == 1) {
+                    routers[rank].exposure = rollout_exposure(); // restarted
                     routers[rank].exposure.on_fleet(rank, size);
                 }
-                routers[rank].see(make_plan(step));
-                met += routers[rank].send(*rc::gen::inRange<std::uint64_t>(0, 60), false);
+                routers[rank].apply(make_plan(step));
+                exposed += routers[rank].send(*rc::gen::inRange<std::uint64_t>(0, 60), false);
             }
-            RC_ASSERT(met <= granted_callers(make_plan(step), step));
+            RC_ASSERT(exposed <= granted_callers(make_plan(step), step));
         }
     });
     CHECK_TRUE(held);
 }
 
-// The router of a fleet of 3 has just started and knows no other yet. It goes by the size that the
-// holder wrote, else it would take the whole grant.
-TEST(rollout_exposure_test, a_router_that_knows_few_others_goes_by_the_size_in_the_configuration)
+// A router of a fleet of 3 has just started and knows no other yet. It must use the fleet size in
+// the configuration, or it would take the whole grant.
+TEST(rollout_exposure_test, a_router_that_knows_few_others_uses_the_fleet_size_in_the_configuration)
 {
     router_model router;
     auto plan = make_plan(0);
     plan.routers = 3;
-    router.see(plan);
+    router.apply(plan);
     LONGS_EQUAL(9, router.send(100));
 }
 
-// A router is replaced in the middle of a step. The dead one may have spent its part: the new one
-// takes nothing before the next step, and then only its part of what that adds.
+// A router is replaced in the middle of a step. The old process may have used its share, so the new
+// one gets none before the next step, and then only its share of the added callers.
 TEST(rollout_exposure_test, a_router_that_starts_in_the_middle_of_a_step_waits_for_the_next)
 {
     router_model router;
     router.exposure = rollout_exposure();
-    router.see(make_plan(0));
+    router.apply(make_plan(0));
     LONGS_EQUAL(0, router.send(100));
-    router.see(make_plan(1));
+    router.apply(make_plan(1));
     LONGS_EQUAL(75, router.send(1000));
 }
 
-TEST(rollout_exposure_test, nothing_new_goes_to_a_version_that_is_paused_or_rolled_back_or_unbegun)
+TEST(rollout_exposure_test, a_paused_or_rolled_back_or_unstarted_version_gets_no_new_callers)
 {
     auto paused = make_plan(0);
     paused.paused = true;
-    auto unbegun = make_plan(0);
-    unbegun.run = 0;
-    for (const auto& plan : {paused, unbegun, make_plan(0, rollout_state::rolled_back)}) {
+    auto unstarted = make_plan(0);
+    unstarted.run = 0;
+    for (const auto& plan : {paused, unstarted, make_plan(0, rollout_state::rolled_back)}) {
         router_model router;
-        router.see(plan);
+        router.apply(plan);
         LONGS_EQUAL(0, router.send(100));
     }
 }
@@ -185,83 +186,83 @@
 TEST(rollout_exposure_test, all_new_work_goes_to_a_version_that_is_fully_rolled_out)
 {
     router_model router;
-    router.see(make_plan(2, rollout_state::done));
+    router.apply(make_plan(2, rollout_state::done));
     LONGS_EQUAL(1000, router.send(1000));
 }
 
-TEST(rollout_exposure_test, a_team_meets_no_version_that_it_may_not_use)
+TEST(rollout_exposure_test, a_team_gets_no_version_that_it_may_not_use)
 {
     router_model router;
     router.allowed = selector().require("version", {"adjudicator-1"});
-    router.see(make_plan(0));
+    router.apply(make_plan(0));
     LONGS_EQUAL(0, router.send(100));
-    router.see(make_plan(2, rollout_state::done));
+    router.apply(make_plan(2, rollout_state::done));
     LONGS_EQUAL(0, router.send(100));
 }
 
-TEST(rollout_exposure_test, a_request_for_a_version_by_name_is_no_callers_exposure)
+TEST(rollout_exposure_test, a_request_for_a_version_by_name_does_not_count_as_exposure)
 {
     router_model router;
-    router.see(make_plan(0));
+    router.apply(make_plan(0));
     CHECK_EQUAL(std::string("adjudicator-2"), router.ask("adjudicator-2").answer.version);
     CHECK_EQUAL(std::string(), router.ask("adjudicator-2").exposed_by);
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask("adjudicator-1").answer.version);
 }
 
-// The caller's first run was lost on the new version. The repeat goes to the old one: the caller
-// has paid enough for the new one.
-TEST(rollout_exposure_test, a_request_that_the_new_version_lost_is_repeated_on_the_old)
+// The caller's first run failed on the new version. The retry goes to the old one, so that the new
+// version costs the caller no more than one run.
+TEST(rollout_exposure_test, a_request_that_failed_on_the_new_version_is_retried_on_the_old)
 {
     router_model router;
-    router.see(make_plan(0));
-    router.note.lost_on = {"adjudicator-2"};
+    router.apply(make_plan(0));
+    router.context.lost_on = {"adjudicator-2"};
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
 }
 
-TEST(rollout_exposure_test, a_router_whose_own_evidence_rejects_sends_nothing_more_at_once)
+TEST(rollout_exposure_test, a_router_stops_at_once_when_its_own_evidence_rejects_the_version)
 {
     router_model router;
-    router.see(make_plan(0));
+    router.apply(make_plan(0));
     LONGS_EQUAL(4, router.send(100, false)); // log(0.99 / 0.005) / log(5) = 3.3 errors
     CHECK_TRUE(router.exposure.reports().at(0).tripped);
 }
 
-TEST(rollout_exposure_test, a_trip_that_another_router_tells_holds_for_that_attempt_only)
+TEST(rollout_exposure_test, a_trip_reported_by_a_peer_applies_to_that_attempt_only)
 {
     router_model router;
     router.exposure.on_peer_trip("adjudicator-2", 7);
-    router.see(make_plan(0));
+    router.apply(make_plan(0));
     LONGS_EQUAL(0, router.send(100));
-    auto anew = make_plan(0);
-    anew.run = 9;
-    router.see(anew);
+    auto next_attempt = make_plan(0);
+    next_attempt.run = 9;
+    router.apply(next_attempt);
     LONGS_EQUAL(25, router.send(100));
 }
 
-// Fully rolled out and good for long, the version turns bad: its traffic goes back to the old one
-// before any operator or the holder has acted.
-TEST(rollout_exposure_test, a_version_that_turns_bad_in_full_use_gets_nothing_more)
+// A version turns bad long after its rollout: its traffic returns to the old version before an
+// operator or the lease holder has acted.
+TEST(rollout_exposure_test, a_version_that_turns_bad_after_its_rollout_gets_no_more_work)
 {
     router_model router;
-    router.see(make_plan(2, rollout_state::done));
+    router.apply(make_plan(2, rollout_state::done));
     LONGS_EQUAL(10'000, router.send(10'000));
     LONGS_EQUAL(13, router.send(100, false));
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
 }
 
-// A stream has begun on the old version and its endpoint goes silent. The next endpoint must not be
-// one of a new version that may be bad: it broke the stream off for good when it was.
+// A stream has begun on the old version and its endpoint goes silent. It must not be resumed on the
+// new version, which may be bad: then the stream was broken off for good.
 TEST(rollout_exposure_test, a_request_that_has_begun_stays_on_its_version)
 {
     router_model router;
-    router.see(make_plan(0));
-    router.note.ran_on = "adjudicator-1";
+    router.apply(make_plan(0));
+    router.context.ran_on = "adjudicator-1";
     STRCMP_EQUAL("adjudicator-1", router.ask().answer.version.c_str());
-    router.note.ran_on = "adjudicator-2";
+    router.context.ran_on = "adjudicator-2";
     STRCMP_EQUAL("adjudicator-2", router.ask().answer.version.c_str());
 }
 
-TEST(rollout_exposure_test, sessions_move_early_by_their_name_alone)
+TEST(rollout_exposure_test, sessions_move_early_by_their_key_alone)
 {
     router_model one(0, 9);
     router_model other(5, 9);
@@ -269,7 +270,7 @@
     plan.session_ppm = 40'000;
     int moved = 0;
     for (auto* router : {&one, &other}) {
-        router->see(plan);
+        router->apply(plan);
     }
     for (std::uint64_t key = 1; key <= 1'000'000; key += 997) {
         one.session_key = key;
@@ -281,38 +282,38 @@
     CHECK_TRUE(moved >= 35 && moved <= 45); // 4 in 100 of 1,003
 }
 
-TEST(rollout_exposure_test, all_sessions_move_once_the_staged_part_is_over)
+TEST(rollout_exposure_test, all_sessions_move_once_the_rollout_is_done)
 {
     router_model router;
-    router.see(make_plan(2, rollout_state::done));
+    router.apply(make_plan(2, rollout_state::done));
     router.session_key = 999'999;
-    router.note.lost_on = {"adjudicator-2"};
+    router.context.lost_on = {"adjudicator-2"};
     STRCMP_EQUAL("adjudicator-2", router.ask().answer.version.c_str());
 }
 
-TEST(rollout_exposure_test, requests_that_fill_an_endpoint_move_to_it_and_no_others)
+TEST(rollout_exposure_test, only_requests_that_fill_an_endpoint_move_to_it)
 {
     router_model router;
     auto plan = make_plan(2);
     plan.step_callers = {0, 0, 0};
     plan.fills_endpoint = true;
-    router.see(plan);
+    router.apply(plan);
     CHECK_TRUE(router.exposure.is_filling_endpoint("adjudicator-2"));
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
-    router.note.fills_endpoint = true;
+    router.context.fills_endpoint = true;
     CHECK_EQUAL(std::string("adjudicator-2"), router.ask().answer.version);
     router.exposure.on_peer_trip("adjudicator-2", 7);
     CHECK_EQUAL(std::string("adjudicator-1"), router.ask().answer.version);
 }
 
-TEST(rollout_exposure_test, what_was_seen_before_an_endpoint_is_filled_is_counted_apart)
+TEST(rollout_exposure_test, results_from_before_an_endpoint_is_filled_are_counted_separately)
 {
     router_model router;
     auto plan = make_plan(0);
-    router.see(plan);
+    router.apply(plan);
     router.exposure.on_end("adjudicator-2", true);
     LONGS_EQUAL(1, router.exposure.reports().at(0).seen.good);
     plan.fills_endpoint = true;
-    router.see(plan);
+    router.apply(plan);
     LONGS_EQUAL(0, router.exposure.reports().at(0).seen.total());
 }
--- a/decision/test/session_token_test.cpp
+++ b/decision/test/session_token_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A code that only tests can trust: a keyed hash, in decimal digits.
+// A non-cryptographic code for tests only: a keyed hash in decimal digits.
 class hashing_authenticator : public token_authenticator {
 public:
     [[nodiscard]] std::string seal(std::uint32_t key_number, std::string_view text) const override
@@ -57,23 +57,24 @@
     }
 }
 
-TEST(session_token_test, text_of_another_layout_is_refused_though_its_code_is_right)
+TEST(session_token_test, another_layout_is_refused_even_with_a_valid_code)
 {
     for (const std::string text : {"s2.1.a.b.c.d", "s1.1.a.b.c", "s1.1.a.b.c.d.e"}) {
         CHECK_FALSE(open_session(text + "." + keys.seal(1, text), {1}, keys).has_value());
     }
 }
 
-TEST(session_token_test, a_field_cannot_pass_for_two)
+TEST(session_token_test, separators_in_a_field_are_escaped)
 {
     const session tricky{"id.1", "deposits.reader", "%2e", ""};
     const auto token = seal_session(tricky, 1, keys);
     CHECK_TRUE(tricky == open_session(token, {1}, keys));
 }
 
-TEST(session_token_test, a_value_has_one_spelling)
+TEST(session_token_test, a_value_has_only_one_valid_encoding)
 {
-    // A caller that can spell a token in many ways could pass by whatever compares or counts them.
+    // Guards against a caller that encodes a token in several ways to evade checks that compare or
+    // count tokens.
     const auto token = seal_session({"a.b", "t", "m", "v"}, 1, keys);
     auto upper_case = token;
     upper_case.replace(token.find("%2e"), 3, "%2E");
@@ -84,7 +85,7 @@
 
 namespace {
 
-// Any bytes, so also those that the token's layout uses.
+// Any bytes, including those that the token's layout uses.
 std::string random_text()
 {
     return *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
--- a/decision/test/size_choice_test.cpp
+++ b/decision/test/size_choice_test.cpp
@@ -18,14 +18,14 @@
     CHECK_EQUAL(0U, first_size(1, this->settings));
 }
 
-TEST(size_choice, an_answer_that_its_model_doubts_goes_to_the_largest)
+TEST(size_choice, a_low_confidence_answer_goes_to_the_largest_model)
 {
     CHECK_EQUAL(2U, next_size(this->question, this->settings));
     this->question.confidence = this->settings.min_confidence;
     CHECK_EQUAL(0U, next_size(this->question, this->settings));
 }
 
-TEST(size_choice, less_urgent_answers_are_believed_sooner)
+TEST(size_choice, less_urgent_answers_need_less_confidence)
 {
     this->settings.confidence_step = 20.0;
     this->question.priority = 1;
@@ -34,14 +34,14 @@
     CHECK_EQUAL(0U, next_size(this->question, this->settings));
 }
 
-TEST(size_choice, the_largest_model_is_always_believed)
+TEST(size_choice, the_largest_models_answer_is_always_delivered)
 {
     this->question.size = 2;
     this->question.confidence = 0.0;
     CHECK_EQUAL(2U, next_size(this->question, this->settings));
 }
 
-TEST(size_choice, a_doubted_answer_is_delivered_when_another_would_be_late)
+TEST(size_choice, a_low_confidence_answer_is_delivered_when_another_would_be_late)
 {
     this->question.waited = std::chrono::milliseconds(2500);
     CHECK_EQUAL(0U, next_size(this->question, this->settings));
--- a/decision/test/speed_reference_test.cpp
+++ b/decision/test/speed_reference_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(speed_reference){};
 
-TEST(speed_reference, says_nothing_before_it_has_seen_enough)
+TEST(speed_reference, has_no_result_before_enough_samples)
 {
     speed_reference reference;
     reference.learn("model", 0, milliseconds(100));
@@ -15,7 +15,7 @@
     CHECK_FALSE(reference.is_slow("other", 0, milliseconds(900)).has_value());
 }
 
-TEST(speed_reference, lies_where_four_of_five_answers_are_quicker)
+TEST(speed_reference, converges_to_the_quantile_of_four_in_five_answers)
 {
     speed_reference reference;
     for (int i = 0; i < 2000; ++i) {
@@ -25,7 +25,7 @@
     CHECK_TRUE(*reference.is_slow("model", 0, milliseconds(980)));
 }
 
-TEST(speed_reference, keeps_sizes_apart)
+TEST(speed_reference, keeps_sizes_separate)
 {
     speed_reference reference;
     for (int i = 0; i < 50; ++i) {
@@ -36,8 +36,8 @@
     CHECK_FALSE(*reference.is_slow("model", 2, milliseconds(100)));
 }
 
-// Both versions answer within a millisecond, and the new one's connections are new.
-TEST(speed_reference, differences_of_a_few_milliseconds_say_nothing)
+// Both versions answer within a millisecond, but the new one's connections are new.
+TEST(speed_reference, ignores_differences_of_a_few_milliseconds)
 {
     speed_reference reference;
     for (int i = 0; i < 50; ++i) {
@@ -47,8 +47,9 @@
     CHECK_TRUE(*reference.is_slow("model", 0, milliseconds(30)));
 }
 
-// A pace is judged against the middle one of the model's streams, with room for a full endpoint.
-TEST(speed_reference, follows_the_share_and_the_factor_that_it_is_given)
+// Settings for a stream's pace: relative to the median of the model's streams, with a margin for a
+// full endpoint.
+TEST(speed_reference, uses_the_configured_share_and_factor)
 {
     speed_reference_settings settings;
     settings.share_within = 0.5;
--- a/decision/test/traffic_route_test.cpp
+++ b/decision/test/traffic_route_test.cpp
@@ -50,7 +50,7 @@
     STRCMP_EQUAL("short", found(this->table, "A.Example:8080", "/x/1").c_str());
 }
 
-TEST(traffic_route, a_query_is_no_part_of_the_path)
+TEST(traffic_route, a_query_is_not_part_of_the_path)
 {
     STRCMP_EQUAL("", found(this->table, "a.example", "/z?/x/").c_str());
     STRCMP_EQUAL("short", found(this->table, "a.example", "/x/?q").c_str());
@@ -109,10 +109,10 @@
     return host;
 }
 
-// The rule itself: of all routes of the host whose prefix begins the path, the longest prefix, then
-// the first name.
-std::string found_by_rule(const std::vector<traffic_route>& routes, const std::string& host,
-                          const std::string& path)
+// Reference implementation by linear search: of all routes of the host whose prefix begins the
+// path, the one with the longest prefix, then the first name.
+std::string found_by_linear_search(const std::vector<traffic_route>& routes,
+                                   const std::string& host, const std::string& path)
 {
     const auto plain_path = path.substr(0, path.find('?'));
     const traffic_route* best = nullptr;
@@ -135,12 +135,12 @@
            *rc::gen::element<std::string>("", "", ":80", ":", ":x", ":8:0");
 }
 
-// Few pieces, so that prefixes often begin paths; some with no slash at either end.
-std::string any_path(int most_pieces)
+// Made of few distinct pieces, so that prefixes often match; some have no slash at either end.
+std::string any_path(int max_pieces)
 {
     const auto pieces = *rc::gen::resize(
-        most_pieces, rc::gen::container<std::vector<std::string>>(
-                         rc::gen::element<std::string>("/", "x", "x/", "/x/", "/y/", "xy", "X")));
+        max_pieces, rc::gen::container<std::vector<std::string>>(
+                        rc::gen::element<std::string>("/", "x", "x/", "/x/", "/y/", "xy", "X")));
     std::string path;
     for (const auto& piece : pieces) {
         path += piece;
@@ -150,26 +150,26 @@
 
 std::string any_target()
 {
-    constexpr int most_pieces = 8;
-    return any_path(most_pieces) + *rc::gen::element<std::string>("", "", "?", "?q=/x/", "?x?/y/");
+    constexpr int max_pieces = 8;
+    return any_path(max_pieces) + *rc::gen::element<std::string>("", "", "?", "?q=/x/", "?x?/y/");
 }
 
 std::vector<traffic_route> any_routes()
 {
-    constexpr int most_pieces = 4;
+    constexpr int max_pieces = 4;
     std::vector<traffic_route> routes;
     const int count = *rc::gen::inRange(0, 15);
     for (int index = 0; index < count; ++index) {
         const auto name =
             "r" + std::to_string(*rc::gen::inRange(0, 1000)) + "-" + std::to_string(index);
-        routes.push_back(make_route(name, any_host(), any_path(most_pieces)));
+        routes.push_back(make_route(name, any_host(), any_path(max_pieces)));
     }
     return routes;
 }
 
 } // namespace
 
-TEST(traffic_route, every_request_finds_the_route_that_the_plain_rule_names)
+TEST(traffic_route, lookups_agree_with_a_linear_search)
 {
     CHECK_TRUE(rc::check("longest prefix", [] {
         constexpr int requests = 40;
@@ -179,12 +179,12 @@
             const auto host = any_host();
             const auto target = any_target();
             RC_ASSERT(found(indexed, host.c_str(), target.c_str()) ==
-                      found_by_rule(routes, host, target));
+                      found_by_linear_search(routes, host, target));
         }
     }));
 }
 
-TEST(traffic_route, a_route_that_replaces_one_of_its_name_leaves_nothing_of_it)
+TEST(traffic_route, a_route_completely_replaces_an_earlier_one_with_its_name)
 {
     const route_table replaced{
         {make_route("one", "a.example", "/x/"), make_route("one", "a.example", "/y/")}};
--- a/decision/test/version_choice_test.cpp
+++ b/decision/test/version_choice_test.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-// Team deposits may use stable versions. Of model reader there are reader-1 and reader-2, which
-// share the traffic 1 to 3, reader-3 on another channel, and reader-0 without traffic.
+// Team `deposits` may use stable versions. Model `reader` has reader-1 and reader-2, whose traffic
+// is 1 to 3, reader-3 on another channel, and reader-0 without traffic.
 TEST_GROUP(version_choice_test)
 {
     configuration_ptr build(bool withdrawn = false)
@@ -126,7 +126,7 @@
     CHECK_TRUE(this->refuses(question, version_refusal::no_version));
 }
 
-TEST(version_choice_test, fallbacks_in_a_circle_and_versions_without_traffic_take_no_work)
+TEST(version_choice_test, cyclic_fallbacks_and_versions_without_traffic_get_no_work)
 {
     team anyone;
     anyone.name = "deposits";
@@ -152,7 +152,7 @@
     CHECK_TRUE(this->refuses(this->question_for("closed-reader"), version_refusal::not_allowed));
 }
 
-TEST(version_choice_test, a_session_keeps_its_version_whatever_the_traffic)
+TEST(version_choice_test, a_session_keeps_its_version_regardless_of_traffic)
 {
     CHECK_TRUE((names{"reader-0"}) == this->drawn(this->bound_to("reader-0")));
     CHECK_TRUE((names{"reader-1"}) == this->drawn(this->bound_to("reader-1", "cheap-reader")));
