--- a/decision/include/pearhaven/decision/endpoint_table.hpp
+++ b/decision/include/pearhaven/decision/endpoint_table.hpp
@@ -208,7 +208,7 @@
     void work_completed(const std::string& address, double work,
                         std::optional<std::uint64_t> incarnation = std::nullopt);
 
-    // The answer of an attempt in flight begins or ends. `ended` does not end the answer.
+    // The answer of an attempt in flight begins or ends. `ended` does not imply `answer_ended`.
     void answer_began(const std::string& address, std::uint64_t incarnation);
     void answer_ended(const std::string& address, std::uint64_t incarnation);
 
--- a/decision/include/pearhaven/decision/rollout_exposure.hpp
+++ b/decision/include/pearhaven/decision/rollout_exposure.hpp
@@ -54,6 +54,7 @@
 
 // Controls how many of this router's callers are exposed to the new version of each rollout, and
 // records the results.
+//
 // Exposure is limited by a number of callers, not a percentage: a router's quota is fixed when a
 // step begins, so traffic cannot outrun evidence that is late or missing. Each router gets its
 // share of the callers that a step adds. One that starts in the middle of a step gets none until
--- a/decision/include/pearhaven/decision/rollout_judge.hpp
+++ b/decision/include/pearhaven/decision/rollout_judge.hpp
@@ -31,6 +31,7 @@
 // Decides on rollouts in the one router that holds the lease for it. All persistent state is in the
 // configuration. This class keeps only how long this holder has seen each step, so a new holder
 // resumes at the recorded step and at worst stays on it longer.
+//
 // A step that cannot decide the test (with the default guards, acceptance takes 112 good answers)
 // still advances when half of its callers have been answered and the test has not rejected: a
 // clearly bad version would have been rejected by then. Only an accepted version is finished; until
--- a/decision/include/pearhaven/decision/session_token.hpp
+++ b/decision/include/pearhaven/decision/session_token.hpp
@@ -23,8 +23,8 @@
                                       std::string_view code) const = 0;
 };
 
-// The version that a session is bound to. The caller carries it in a token, so routers keep no
-// table of sessions and any router can continue a session after a restart.
+// The team, model and version that a session is bound to. The caller carries them in a token, so
+// routers keep no table of sessions and any router can continue a session after a restart.
 struct session {
     std::string id;
     std::string team;
--- a/decision/include/pearhaven/decision/size_choice.hpp
+++ b/decision/include/pearhaven/decision/size_choice.hpp
@@ -18,7 +18,7 @@
     double min_confidence = 50.0;
 
     // Reduction of that confidence per priority step below the most urgent: less urgent requests
-    // are not worth the large models' time.
+    // are worth less of the large models' time.
     double confidence_step = 0.0;
 
     // Share of the latency objective after which an answer that has begun is delivered whatever its
--- a/decision/include/pearhaven/decision/traffic_route.hpp
+++ b/decision/include/pearhaven/decision/traffic_route.hpp
@@ -49,7 +49,7 @@
     std::string path_prefix; // begins and ends with a slash
     std::vector<route_target> targets;
     work_kind kind = work_kind::at_most_once;
-    std::uint32_t max_attempts = 1;       // per request
+    std::uint32_t max_attempts = 1;       // endpoints that one request may be sent to
     std::uint32_t priority = 5;           // 0 is most urgent
     duration timeout{};                   // max total wait; zero: unlimited
     duration objective{};                 // until the answer, or a stream's first chunk
--- a/decision/src/endpoint_choice.cpp
+++ b/decision/src/endpoint_choice.cpp
@@ -237,7 +237,7 @@
     if (this->wanted.kind == work_class::lookup) {
         return *held < capacity * this->settings.report_overcommit;
     }
-    // A queued reading has no benefit over waiting here.
+    // A reading in the endpoint's queue makes no progress, so it is not sent there to queue.
     return *held + 1.0 <= capacity && this->may_add_reading(where, *held);
 }
 
--- a/decision/src/endpoint_table.cpp
+++ b/decision/src/endpoint_table.cpp
@@ -195,11 +195,12 @@
         return peer != &where && peer->health.is_ejected(now);
     });
     const auto used = static_cast<double>(std::min(peers.size(), this->settings.subset_size));
-    const double most = std::max(1.0, std::floor(this->settings.max_ejected_share * used));
-    return peers.size() > 1 && static_cast<double>(ejected + 1) <= most;
+    const double max_ejected = std::max(1.0, std::floor(this->settings.max_ejected_share * used));
+    return peers.size() > 1 && static_cast<double>(ejected + 1) <= max_ejected;
 }
 
-// One answer proves slowness only on trial: there it was known before.
+// A single answer proves slowness only during a trial, when the endpoint is already suspected;
+// otherwise several samples are needed.
 bool endpoint_table::state::is_slow(endpoint& where, work_class kind, duration first_token,
                                     bool on_trial, instant now) const
 {
--- a/decision/src/rollout_evidence.cpp
+++ b/decision/src/rollout_evidence.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Min mean number of runs between false alarms of a version exactly at the base rate.
+// Lower bound of the mean number of runs between false alarms of a version exactly at the base
+// rate.
 constexpr double runs_between_alarms = 1e9;
 
 } // namespace
--- a/decision/test/endpoint_changes_test.cpp
+++ b/decision/test/endpoint_changes_test.cpp
@@ -64,8 +64,8 @@
 using ended_list = std::vector<ended_incarnation>;
 
 // A table whose endpoints are added and removed one by one.
-struct changing_table {
-    changing_table()
+struct changing_hosts_fixture {
+    changing_hosts_fixture()
     {
         this->table.configure(*two_versions());
         this->table.set_host(host_at("e0", 1, "a"), this->now);
@@ -88,48 +88,48 @@
 
 TEST(endpoint_changes, an_added_endpoint_gets_work_and_the_others_keep_theirs)
 {
-    changing_table known;
-    known.table.started("e0", work_class::lookup, 100.0, {}, known.now);
-    CHECK_EQUAL(std::string("none"), known.choose("b"));
-    CHECK_TRUE(ended_list{} == known.table.set_host(host_at("e2", 1, "b"), known.now));
-    CHECK_EQUAL(std::string("e2"), known.choose("b"));
-    CHECK_EQUAL(1U, known.table.own_loads().size());
-    CHECK_EQUAL(3U, known.table.addresses().size());
+    changing_hosts_fixture fixture;
+    fixture.table.started("e0", work_class::lookup, 100.0, {}, fixture.now);
+    CHECK_EQUAL(std::string("none"), fixture.choose("b"));
+    CHECK_TRUE(ended_list{} == fixture.table.set_host(host_at("e2", 1, "b"), fixture.now));
+    CHECK_EQUAL(std::string("e2"), fixture.choose("b"));
+    CHECK_EQUAL(1U, fixture.table.own_loads().size());
+    CHECK_EQUAL(3U, fixture.table.addresses().size());
 }
 
 TEST(endpoint_changes, a_dropped_endpoint_ends_its_incarnation_and_gets_no_work)
 {
-    changing_table known;
-    known.choose("a");
-    CHECK_TRUE((ended_list{{"e0", 1, std::nullopt}}) == known.table.drop_host("e0", known.now));
-    CHECK_TRUE(ended_list{} == known.table.drop_host("e0", known.now));
-    CHECK_EQUAL(std::string("e1"), known.choose("a"));
-    CHECK_TRUE((std::vector<std::string>{"e1"}) == known.table.addresses());
+    changing_hosts_fixture fixture;
+    fixture.choose("a");
+    CHECK_TRUE((ended_list{{"e0", 1, std::nullopt}}) == fixture.table.drop_host("e0", fixture.now));
+    CHECK_TRUE(ended_list{} == fixture.table.drop_host("e0", fixture.now));
+    CHECK_EQUAL(std::string("e1"), fixture.choose("a"));
+    CHECK_TRUE((std::vector<std::string>{"e1"}) == fixture.table.addresses());
 }
 
 TEST(endpoint_changes, a_replacing_process_ends_the_previous_incarnation)
 {
-    changing_table known;
+    changing_hosts_fixture fixture;
     CHECK_TRUE((ended_list{{"e0", 1, 2}}) ==
-               known.table.set_host(host_at("e0", 2, "a"), known.now));
-    CHECK_TRUE(ended_list{} == known.table.set_host(host_at("e0", 2, "a"), known.now));
-    CHECK_EQUAL(2U, known.table.incarnation_of("e0"));
+               fixture.table.set_host(host_at("e0", 2, "a"), fixture.now));
+    CHECK_TRUE(ended_list{} == fixture.table.set_host(host_at("e0", 2, "a"), fixture.now));
+    CHECK_EQUAL(2U, fixture.table.incarnation_of("e0"));
 }
 
 TEST(endpoint_changes, an_endpoint_that_serves_another_version_moves_to_its_route)
 {
-    changing_table known;
-    known.choose("a");
-    known.choose("b");
-    known.table.set_host(host_at("e0", 1, "b"), known.now);
-    CHECK_EQUAL(std::string("e0"), known.choose("b"));
-    CHECK_EQUAL(std::string("e1"), known.choose("a"));
+    changing_hosts_fixture fixture;
+    fixture.choose("a");
+    fixture.choose("b");
+    fixture.table.set_host(host_at("e0", 1, "b"), fixture.now);
+    CHECK_EQUAL(std::string("e0"), fixture.choose("b"));
+    CHECK_EQUAL(std::string("e1"), fixture.choose("a"));
 }
 
 TEST(endpoint_changes, a_complete_list_reports_all_ended_incarnations)
 {
-    changing_table known;
-    const auto ended = known.table.set_hosts({host_at("e1", 5, "a")}, known.now);
+    changing_hosts_fixture fixture;
+    const auto ended = fixture.table.set_hosts({host_at("e1", 5, "a")}, fixture.now);
     CHECK_TRUE((ended_list{{"e1", 1, 5}, {"e0", 1, std::nullopt}}) == ended);
 }
 
@@ -138,25 +138,25 @@
 // the list, no matter how long the mark was set before.
 TEST(endpoint_changes, the_history_of_an_address_is_retained_from_its_removal_from_the_list)
 {
-    changing_table known;
-    known.table.mark_leaving("e0", 0, known.now);
-    known.now += std::chrono::hours(1);
-    known.table.drop_host("e0", known.now);
-    known.now += std::chrono::minutes(1);
-    known.table.set_host(host_at("e0", 1, "a"), known.now);
-    CHECK_TRUE(known.table.find("e0")->leaving);
+    changing_hosts_fixture fixture;
+    fixture.table.mark_leaving("e0", 0, fixture.now);
+    fixture.now += std::chrono::hours(1);
+    fixture.table.drop_host("e0", fixture.now);
+    fixture.now += std::chrono::minutes(1);
+    fixture.table.set_host(host_at("e0", 1, "a"), fixture.now);
+    CHECK_TRUE(fixture.table.find("e0")->leaving);
 }
 
 TEST(endpoint_changes, an_ended_incarnation_is_accepted_once_its_history_has_expired)
 {
-    changing_table known;
-    known.table.set_host(host_at("e0", 2, "a"), known.now);
-    known.table.drop_host("e0", known.now);
-    known.table.set_host(host_at("e0", 1, "a"), known.now);
-    CHECK_FALSE(known.table.find("e0").has_value());
-    known.now += std::chrono::minutes(11);
-    known.table.set_host(host_at("e1", 1, "a"), known.now);
-    CHECK_EQUAL(1U, known.table.incarnation_of("e0"));
+    changing_hosts_fixture fixture;
+    fixture.table.set_host(host_at("e0", 2, "a"), fixture.now);
+    fixture.table.drop_host("e0", fixture.now);
+    fixture.table.set_host(host_at("e0", 1, "a"), fixture.now);
+    CHECK_FALSE(fixture.table.find("e0").has_value());
+    fixture.now += std::chrono::minutes(11);
+    fixture.table.set_host(host_at("e1", 1, "a"), fixture.now);
+    CHECK_EQUAL(1U, fixture.table.incarnation_of("e0"));
 }
 
 namespace {
