--- a/decision/include/pearhaven/decision/endpoint_table.hpp
+++ b/decision/include/pearhaven/decision/endpoint_table.hpp
@@ -91,7 +91,7 @@
     double work = 0.0;
     bool concentrated = false;     // to the one endpoint that all routers choose, while it has room
     std::uint64_t prefix_hash = 0; // of the prompt's prefix; 0: no affinity
-    double reading = 0.0;          // part of `work` done before the answer begins
+    double prefill = 0.0;          // part of `work` done before the answer begins
     std::vector<prompt_part> parts; // in prompt order; add to `work` where not cached
     std::vector<std::string> avoid; // addresses that must not be chosen
 
@@ -114,7 +114,7 @@
     // With `compares_all`: cost of a millisecond of processing uncached prompt parts, relative to a
     // millisecond of waiting. It is above 1 because all later requests at the endpoint wait as
     // well.
-    double cold_read_cost = 3.0;
+    double cold_prefill_cost = 3.0;
 
     // Requests per slot up to which the endpoint for concentrated requests gets more of them.
     double concentrated_per_slot = 1.25;
@@ -127,7 +127,7 @@
     // With `compares_all`: load that a millisecond of prompt processing adds per answer being
     // written at the endpoint, as a fraction of its own load. An engine processes prompts between
     // decoding steps, so a prompt delays all answers in progress.
-    double reading_interference = 0.05;
+    double prefill_interference = 0.05;
     double affinity_free_share = 0.25; // share of capacity that affinity may always use
     double affinity_load_factor =
         1.25; // multiple of the mean load up to which a warm endpoint is used
--- a/decision/src/dispatcher.cpp
+++ b/decision/src/dispatcher.cpp
@@ -166,7 +166,7 @@
     wanted.is_service = state.what.is_service;
     wanted.kind = state.what.work.kind;
     wanted.work = this->work_of(state);
-    wanted.reading = state.what.work.reading * this->size_factor(state);
+    wanted.prefill = state.what.work.reading * this->size_factor(state);
     wanted.parts = this->parts_of(state);
     // Models share no cache, and so need not share endpoints.
     wanted.prefix_hash = wanted.parts.empty() ? state.what.prefix_hash : wanted.parts.back().key;
--- a/decision/src/endpoint_choice.cpp
+++ b/decision/src/endpoint_choice.cpp
@@ -186,7 +186,7 @@
         const double cold =
             cold_work(this->wanted.parts, this->prompts, *where, cached_probability, this->now);
         const bool is_local = where->host.zone == this->settings.zone;
-        double score = this->load_of(*where) + this->reading_cost(*where, cold);
+        double score = this->load_of(*where) + this->prefill_cost(*where, cold);
         score += is_local ? 0.0 : this->settings.zone_bias;
         if (best.where == nullptr || score < best.score) {
             best = {where, score};
@@ -195,11 +195,12 @@
     return best.where;
 }
 
-double endpoint_choice::reading_cost(const endpoint& where, double cold_work) const
+double endpoint_choice::prefill_cost(const endpoint& where, double cold_work) const
 {
-    const double harm = this->settings.reading_interference * this->requests_at(where);
-    const double reading = this->load_of_work(this->wanted.reading + cold_work, where);
-    return harm * reading + this->settings.cold_read_cost * this->load_of_work(cold_work, where);
+    const double interference = this->settings.prefill_interference * this->requests_at(where);
+    const double prefill = this->load_of_work(this->wanted.prefill + cold_work, where);
+    return interference * prefill +
+           this->settings.cold_prefill_cost * this->load_of_work(cold_work, where);
 }
 
 bool endpoint_choice::has_room(const endpoint& where) const
--- a/decision/src/endpoint_choice.hpp
+++ b/decision/src/endpoint_choice.hpp
@@ -63,7 +63,7 @@
     [[nodiscard]] double load_of(const endpoint& where) const;
     [[nodiscard]] const endpoint* cheapest(const std::vector<endpoint*>& subset,
                                            std::uint64_t random) const;
-    [[nodiscard]] double reading_cost(const endpoint& where, double cold_work) const;
+    [[nodiscard]] double prefill_cost(const endpoint& where, double cold_work) const;
     [[nodiscard]] double requests_at(const endpoint& where) const;
     [[nodiscard]] double load_of_work(double work, const endpoint& where) const;
     [[nodiscard]] const endpoint* choose_warm(const std::vector<endpoint*>& subset) const;
--- a/decision/test/endpoint_table_test.cpp
+++ b/decision/test/endpoint_table_test.cpp
@@ -1055,10 +1055,10 @@
     fixture.table.peer_reported(
         "other", {{"e0", 12, 0.0, 1}, {"e1", 1, 11 * 14.0, 1}, {"far", 64, 0.0, 1}}, fixture.now);
     placement prompt = a_lookup;
-    prompt.reading = 500.0;
+    prompt.prefill = 500.0;
     CHECK_TRUE((names{"e1"}) == fixture.chosen(prompt));
     placement question = a_lookup;
-    question.reading = 0.0;
+    question.prefill = 0.0;
     CHECK_EQUAL(2U, fixture.chosen(question).size());
 }
 
