--- a/decision/include/pearhaven/decision/endpoint_table.hpp
+++ b/decision/include/pearhaven/decision/endpoint_table.hpp
@@ -128,9 +128,8 @@
     // written at the endpoint, as a fraction of its own load. An engine processes prompts between
     // decoding steps, so a prompt delays all answers in progress.
     double prefill_interference = 0.05;
-    double affinity_free_share = 0.25; // share of capacity that affinity may always use
-    double affinity_load_factor =
-        1.25; // multiple of the mean load up to which a warm endpoint is used
+    double affinity_free_share = 0.25;  // share of capacity always open to affinity
+    double affinity_load_factor = 1.25; // max load of a warm endpoint, in mean loads
 
     std::uint32_t service_slots = 64; // like pool::slots_per_host, for plain services
     double refusal_backoff = 0.7;     // factor on the limit after a refusal
@@ -144,8 +143,10 @@
     duration peer_load_lifetime = std::chrono::seconds(1); // likewise, for loads reported by peers
 
     std::uint32_t failures_to_eject = 3; // consecutive
-    double slow_factor =
-        4.0; // multiple of the peers' median first-token latency that causes ejection
+
+    // Multiple of the other endpoints' median first-token latency that causes ejection.
+    double slow_factor = 4.0;
+
     std::uint32_t slow_samples = 8;  // first tokens needed before an endpoint can count as slow
     double max_ejected_share = 0.34; // of a target's endpoints, for failures and slowness
     duration first_ejection = std::chrono::seconds(1); // doubles with each consecutive one
--- a/decision/src/endpoint_directory.hpp
+++ b/decision/src/endpoint_directory.hpp
@@ -128,8 +128,7 @@
     const endpoint_table_settings& settings;
     configuration_ptr config = configuration_builder().build();
     std::map<std::string, endpoint> endpoints;
-    std::map<std::string, endpoint_host>
-        refused;       // listed with an incarnation that has already ended
+    std::map<std::string, endpoint_host> refused; // listed with an ended incarnation
     name_set unlisted; // endpoints dropped from the list with requests in flight
     std::map<std::string, address_history> histories;
     std::set<retained_history> retained; // the histories whose address has no endpoint
--- a/decision/test/endpoint_table_test.cpp
+++ b/decision/test/endpoint_table_test.cpp
@@ -1094,8 +1094,8 @@
     DOUBLES_EQUAL(3.0 / 16.0, fixture.table.writing_per_slot("e0", 2), 0.001);
     fixture.table.answer_began("e0", 1);
     DOUBLES_EQUAL(4.0 / 16.0, fixture.table.writing_per_slot("e0", 2), 0.001);
-    DOUBLES_EQUAL(16.0 / 16.0, fixture.table.writing_per_slot("e0", 8),
-                  0.001); // two of eight routers report
+    // Two of eight routers report.
+    DOUBLES_EQUAL(16.0 / 16.0, fixture.table.writing_per_slot("e0", 8), 0.001);
     fixture.table.answer_ended("e0", 1);
     LONGS_EQUAL(0, fixture.table.own_loads().at(0).writing);
     fixture.table.answer_began("e0", 1);
--- a/decision/test/rollout_judge_test.cpp
+++ b/decision/test/rollout_judge_test.cpp
@@ -78,8 +78,8 @@
     CHECK_TRUE(decides(rollout_move::roll_back, tripped, 0));
     plan.state = rollout_state::done;
     CHECK_TRUE(decides(rollout_move::roll_back, tripped, 0));
-    CHECK_TRUE(decides(rollout_move::stay, evidence(0, 99),
-                       0)); // counts of a finished rollout are ignored
+    // The counts of a finished rollout are ignored.
+    CHECK_TRUE(decides(rollout_move::stay, evidence(0, 99), 0));
     plan.state = rollout_state::rolled_back;
     CHECK_TRUE(decides(rollout_move::stay, tripped, 0));
 }
