--- a/decision/include/pearhaven/decision/endpoint_table.hpp
+++ b/decision/include/pearhaven/decision/endpoint_table.hpp
@@ -149,8 +149,8 @@
 
     std::uint32_t slow_samples = 8;  // first tokens needed before an endpoint can count as slow
     double max_ejected_share = 0.34; // of a target's endpoints, for failures and slowness
-    duration first_ejection = std::chrono::seconds(1); // doubles with each consecutive one
-    duration longest_ejection = std::chrono::seconds(10);
+    duration initial_ejection_time = std::chrono::seconds(1); // doubles with each consecutive one
+    duration max_ejection_time = std::chrono::seconds(10);
 
     // How long the leaving mark and the incarnations of an unlisted host are kept.
     duration departed_retention = std::chrono::minutes(10);
--- a/decision/src/endpoint_health.cpp
+++ b/decision/src/endpoint_health.cpp
@@ -50,13 +50,13 @@
     if (this->is_ejected(now)) {
         return;
     }
-    if (!this->returning && now - this->returned_at > settings.longest_ejection) {
+    if (!this->returning && now - this->returned_at > settings.max_ejection_time) {
         this->ejections = 0;
     }
     constexpr std::uint32_t max_doublings = 16;
-    const duration wanted =
-        settings.first_ejection * (std::int64_t{1} << std::min(this->ejections, max_doublings));
-    this->ejected_until = now + std::min(wanted, settings.longest_ejection);
+    const duration wanted = settings.initial_ejection_time *
+                            (std::int64_t{1} << std::min(this->ejections, max_doublings));
+    this->ejected_until = now + std::min(wanted, settings.max_ejection_time);
     ++this->ejections;
     this->returning = true;
     this->trials = 0;
