--- a/coordination/test/trial_load_test.cpp
+++ b/coordination/test/trial_load_test.cpp
@@ -100,7 +100,7 @@
         const auto plan = this->make_trial(size);
         this->connect_peers(size);
         dispatcher_settings settings;
-        settings.endpoints.weighs_all = true;
+        settings.endpoints.compares_all = true;
         settings.endpoints.typical_work = 14.0;
         settings.max_refusals = 6;
         settings.retry_share = 0.0;
--- a/decision/include/pearhaven/decision/dispatcher.hpp
+++ b/decision/include/pearhaven/decision/dispatcher.hpp
@@ -244,7 +244,7 @@
     // Like `on_hosts` with a list changed in this way, but the cost is independent of the unchanged
     // hosts. Returns the incarnations that ended; connections to them must not be used for attempts
     // that the resulting actions start.
-    std::vector<ended_life> on_host_changes(const host_changes& changes, instant now);
+    std::vector<ended_incarnation> on_host_changes(const host_changes& changes, instant now);
 
     // Returns false if the report does not apply to the endpoint's current incarnation.
     bool on_load_report(const std::string& address, const load_report& report, instant now);
@@ -365,7 +365,7 @@
         double outstanding_work = 0.0;
         double prefill_work = 0.0;      // the part of it that is done once the answer begins
         std::vector<prompt_part> parts; // of the current attempt, specific to the model
-        rollout_note rollouts;
+        rollout_context rollouts;
     };
 
     struct arrival_counter {
--- a/decision/src/dispatcher.cpp
+++ b/decision/src/dispatcher.cpp
@@ -55,9 +55,9 @@
     this->dispatch(now);
 }
 
-std::vector<ended_life> dispatcher::on_host_changes(const host_changes& changes, instant now)
+std::vector<ended_incarnation> dispatcher::on_host_changes(const host_changes& changes, instant now)
 {
-    std::vector<ended_life> ended;
+    std::vector<ended_incarnation> ended;
     for (const auto& host : changes.present) {
         const auto replaced = this->table.set_host(host, now);
         ended.insert(ended.end(), replaced.begin(), replaced.end());
@@ -84,7 +84,7 @@
 void dispatcher::on_peer_loads(const std::string& router, std::vector<endpoint_load> loads,
                                instant now)
 {
-    this->table.told(router, std::move(loads), now);
+    this->table.peer_reported(router, std::move(loads), now);
 }
 
 void dispatcher::on_endpoint_leaving(const std::string& address, std::uint64_t incarnation,
@@ -167,11 +167,11 @@
     wanted.is_service = state.request.is_service;
     wanted.kind = state.request.work.kind;
     wanted.work = this->work_of(state);
-    wanted.reading = state.request.work.prefill * this->size_factor(state);
+    wanted.prefill = state.request.work.prefill * this->size_factor(state);
     wanted.parts = this->parts_of(state);
     // Models of different sizes share no cache, so their requests need not share endpoints.
     wanted.prefix_hash = wanted.parts.empty() ? state.request.prefix_hash : wanted.parts.back().key;
-    wanted.packed = this->may_concentrate(state, target);
+    wanted.concentrated = this->may_concentrate(state, target);
     if (now < state.avoid_until) {
         this->add_avoided(state, wanted);
     }
@@ -221,7 +221,7 @@
 bool dispatcher::may_concentrate(const request_state& state, const std::string& version) const
 {
     return state.rollouts.fills_endpoint && !state.was_displaced &&
-           this->exposure.is_filled(version);
+           this->exposure.is_filling_endpoint(version);
 }
 
 // If an endpoint crashes with two suspects on it, the cause cannot be attributed, and quarantining
@@ -261,13 +261,14 @@
         exposed_by = std::move(chosen.exposed_by);
     }
     auto wanted = this->placement_for(state, target, now);
-    wanted.packed = wanted.packed && this->table.has_packed_room(wanted, this->fleet_size, now);
+    wanted.concentrated =
+        wanted.concentrated && this->table.has_concentrated_room(wanted, this->fleet_size, now);
     auto address = this->table.choose(wanted, now, this->next_random());
     if (!address) {
         return std::nullopt;
     }
     return start_choice{std::move(*address), std::move(target), std::move(exposed_by),
-                        wanted.packed};
+                        wanted.concentrated};
 }
 
 // The operator may remove a team while its requests run, and each of them may be queued again. An
--- a/decision/src/dispatcher_admission.cpp
+++ b/decision/src/dispatcher_admission.cpp
@@ -129,7 +129,7 @@
     // A new version that no endpoint serves yet must not cost its first callers their answers. If
     // there is no other version, it is chosen again and its callers are refused.
     while (this->exposure.watches(chosen.answer.version) &&
-           !this->exposure.is_whole(chosen.answer.version) &&
+           !this->exposure.is_fully_rolled_out(chosen.answer.version) &&
            !contains(context.lost_on, chosen.answer.version) &&
            !this->table.serves(this->placement_for(state, chosen.answer.version, now), now)) {
         context.lost_on.push_back(chosen.answer.version);
--- a/decision/src/dispatcher_attempts.cpp
+++ b/decision/src/dispatcher_attempts.cpp
@@ -185,9 +185,9 @@
     }
     state.rollouts.lost_on.push_back(state.version);
     // Silence under full traffic may be caused by a full queue as well as by a bad version.
-    const bool busy =
-        end.result == attempt_result::went_silent &&
-        (this->exposure.is_whole(state.version) || this->is_blocked_by_others(state, now));
+    const bool busy = end.result == attempt_result::went_silent &&
+                      (this->exposure.is_fully_rolled_out(state.version) ||
+                       this->is_blocked_by_others(state, now));
     // If runs end with their connection, one crash of the endpoint ends many at once.
     const bool crashed = end.result == attempt_result::failed && !end.answered_error &&
                          state.request.on_loss != continuation::same_run;
@@ -315,7 +315,7 @@
 {
     const double done = std::min(state.outstanding_work, state.prefill_work);
     state.outstanding_work -= done;
-    this->table.lightened(state.address, done, state.incarnation);
+    this->table.work_completed(state.address, done, state.incarnation);
     this->table.answer_began(state.address, state.incarnation);
     state.answer_begun = true;
     this->record_loaded_run(state, true);
--- a/decision/src/endpoint_choice.cpp
+++ b/decision/src/endpoint_choice.cpp
@@ -11,23 +11,24 @@
 
 namespace {
 
-// Of a subset, the part kept for other zones, so that work can leave a zone that is full or down.
-constexpr std::size_t remote_part_of_subset = 4;
+// One in this many places of a subset is reserved for other zones, so that work can leave a zone
+// that is full or down.
+constexpr std::size_t remote_subset_divisor = 4;
 
-// How likely the endpoints that rank first and second for a prefix have it, where this router has
-// heard of nobody that sent it there. In a large fleet it hears from few of the others, and all
-// send there first.
-constexpr double likely_at_first = 0.6;
-constexpr double likely_at_second = 0.3;
+// Assumed probability that the endpoints that rank first and second for a prefix have it cached, if
+// no request for it at that endpoint is known. In a large fleet a router gets reports from few
+// others, but all of them prefer these endpoints.
+constexpr double cached_probability_at_first = 0.6;
+constexpr double cached_probability_at_second = 0.3;
 
-// Part of its slots that an endpoint has taken once packed requests have begun to fill it. Ordinary
-// ones are spread, and leave each with less.
-constexpr double being_filled_share = 0.125;
+// Share of its slots in use from which an endpoint counts as being filled by concentrated requests.
+// Ordinary requests are spread and keep each endpoint below it.
+constexpr double filling_threshold = 0.125;
 
-// How long a router keeps to its draw for a slot; covers the lag of most load reports.
+// How long a router's draw for a slot stays valid; covers the lag of most load reports.
 constexpr duration draw_period = std::chrono::seconds(1);
 
-// A number from 0 up to 1.
+// A number from 0 (inclusive) to 1 (exclusive).
 double unit_fraction(std::uint64_t random)
 {
     constexpr unsigned kept_bits = 53;
@@ -35,16 +36,16 @@
            static_cast<double>(std::uint64_t{1} << kept_bits);
 }
 
-bool is_left_out(const endpoint& where, const std::vector<std::string>& avoid, instant now)
+bool is_excluded(const endpoint& where, const std::vector<std::string>& avoid, instant now)
 {
     return contains(avoid, where.host.address) || where.load.draining() ||
            where.health.is_ejected(now);
 }
 
-// This router's part of all that the endpoints hold. Without any work it counts as holding one
-// request, or it would never get in.
-double part_of_work(const std::vector<endpoint*>& subset, instant now,
-                    const endpoint_table_settings& settings)
+// This router's share of all requests at the endpoints. At least one request is counted for it, or
+// a router without work would never get any in.
+double share_of_work(const std::vector<endpoint*>& subset, instant now,
+                     const endpoint_table_settings& settings)
 {
     double own = 1.0;
     double all = 1.0;
@@ -55,8 +56,8 @@
     return own / all;
 }
 
-// The two endpoints that rank first for a prefix. All routers rank them alike, so that a prefix is
-// cached in few places.
+// The two endpoints that rank first for a prefix. All routers rank alike, so a prefix is cached in
+// few places.
 std::array<const endpoint*, 2> ranked_first(const std::vector<endpoint*>& subset,
                                             std::uint64_t prefix_hash)
 {
@@ -81,7 +82,7 @@
                                  instant now, const endpoint_table_settings& settings)
 {
     const std::size_t size = settings.subset_size;
-    const std::size_t for_remote = std::min(from.remote.size(), size / remote_part_of_subset);
+    const std::size_t for_remote = std::min(from.remote.size(), size / remote_subset_divisor);
     std::vector<endpoint*> subset;
     subset.reserve(std::min(size, from.local.size() + from.remote.size()));
     const auto take = [&](const std::vector<endpoint*>& side, std::size_t until) {
@@ -89,7 +90,7 @@
             if (subset.size() >= until) {
                 return;
             }
-            if (!is_left_out(*where, avoid, now)) {
+            if (!is_excluded(*where, avoid, now)) {
                 subset.push_back(where);
             }
         }
@@ -99,14 +100,14 @@
     return subset;
 }
 
-const endpoint* endpoint_choice::packed_on(const route& from) const
+const endpoint* endpoint_choice::concentration_endpoint(const route& from) const
 {
     const endpoint* first = nullptr;
     for (const auto* side : {&from.local, &from.remote}) {
         for (const endpoint* where : *side) {
-            const bool ranks =
-                first == nullptr || this->rank_of_packed(*where) > this->rank_of_packed(*first);
-            if (ranks && !is_left_out(*where, this->wanted.avoid, this->now) &&
+            const bool ranks = first == nullptr ||
+                               this->concentration_rank(*where) > this->concentration_rank(*first);
+            if (ranks && !is_excluded(*where, this->wanted.avoid, this->now) &&
                 this->has_room(*where)) {
                 first = where;
             }
@@ -115,21 +116,22 @@
     return first;
 }
 
-std::pair<bool, std::uint64_t> endpoint_choice::rank_of_packed(const endpoint& where) const
+std::pair<bool, std::uint64_t> endpoint_choice::concentration_rank(const endpoint& where) const
 {
-    const double least = being_filled_share * where.capacity();
-    return {this->requests_at(where) >= least, mix(where.identity)};
+    const double threshold = filling_threshold * where.capacity();
+    return {this->requests_at(where) >= threshold, mix(where.identity)};
 }
 
 const endpoint* endpoint_choice::choose(const route& from, std::uint64_t random)
 {
-    const endpoint* packed = this->wanted.packed ? this->packed_on(from) : nullptr;
-    if (packed != nullptr) {
-        return packed;
+    const endpoint* concentrated =
+        this->wanted.concentrated ? this->concentration_endpoint(from) : nullptr;
+    if (concentrated != nullptr) {
+        return concentrated;
     }
     const auto subset = subset_of(from, this->wanted.avoid, this->now, this->settings);
     if (this->wanted.kind == work_class::reading) {
-        this->own_part = part_of_work(subset, this->now, this->settings);
+        this->own_share = share_of_work(subset, this->now, this->settings);
     }
     std::vector<endpoint*> local;
     std::vector<endpoint*> remote;
@@ -137,7 +139,7 @@
         const bool is_local = where->host.zone == this->settings.zone;
         (is_local ? local : remote).push_back(where);
     }
-    if (this->settings.weighs_all) {
+    if (this->settings.compares_all) {
         return this->cheapest(subset, random);
     }
     if (const endpoint* warm = this->choose_warm(subset)) {
@@ -152,20 +154,22 @@
 }
 
 double cold_work(const std::vector<prompt_part>& parts, const prompt_map& prompts,
-                 const endpoint& where, double likely, instant now)
+                 const endpoint& where, double cached_probability, instant now)
 {
     double cold = 0.0;
-    double held = 1.0; // a part is of use only behind all those before it
+    double cached = 1.0; // a part is usable only if all parts before it are cached
     for (const auto& part : parts) {
-        held = std::min(held, std::max(likely, prompts.held(where.life(), part.key, now)));
-        cold += (1.0 - held) * part.work;
+        cached =
+            std::min(cached, std::max(cached_probability,
+                                      prompts.cached(where.current_incarnation(), part.key, now)));
+        cold += (1.0 - cached) * part.work;
     }
     return cold;
 }
 
-// The endpoint that costs least: what it holds already, what reading the prompt there costs this
-// request and those beside it, and the way into another zone. `random` says where equal ones are
-// looked at first.
+// The endpoint with the lowest cost: its present load, the cost of processing the prompt there for
+// this request and the others in progress, and a penalty for another zone. `random` selects where
+// the search starts, which decides between equal endpoints.
 const endpoint* endpoint_choice::cheapest(const std::vector<endpoint*>& subset,
                                           std::uint64_t random) const
 {
@@ -176,12 +180,13 @@
         if (!this->has_room(*where)) {
             continue;
         }
-        const double likely = where == ranked[0]   ? likely_at_first
-                              : where == ranked[1] ? likely_at_second
-                                                   : 0.0;
-        const double cold = cold_work(this->wanted.parts, this->prompts, *where, likely, this->now);
+        const double cached_probability = where == ranked[0]   ? cached_probability_at_first
+                                          : where == ranked[1] ? cached_probability_at_second
+                                                               : 0.0;
+        const double cold =
+            cold_work(this->wanted.parts, this->prompts, *where, cached_probability, this->now);
         const bool is_local = where->host.zone == this->settings.zone;
-        double score = this->load_of(*where) + this->reading_cost(*where, cold);
+        double score = this->load_of(*where) + this->prefill_cost(*where, cold);
         score += is_local ? 0.0 : this->settings.zone_bias;
         if (best.where == nullptr || score < best.score) {
             best = {where, score};
@@ -190,11 +195,12 @@
     return best.where;
 }
 
-double endpoint_choice::reading_cost(const endpoint& where, double cold_work) const
+double endpoint_choice::prefill_cost(const endpoint& where, double cold_work) const
 {
-    const double harm = this->settings.reading_harm * this->requests_at(where);
-    const double reading = this->load_of_work(this->wanted.reading + cold_work, where);
-    return harm * reading + this->settings.cold_price * this->load_of_work(cold_work, where);
+    const double interference = this->settings.prefill_interference * this->requests_at(where);
+    const double prefill = this->load_of_work(this->wanted.prefill + cold_work, where);
+    return interference * prefill +
+           this->settings.cold_prefill_cost * this->load_of_work(cold_work, where);
 }
 
 bool endpoint_choice::has_room(const endpoint& where) const
@@ -206,21 +212,23 @@
     if (where.outstanding >= limit) {
         return false;
     }
-    if (this->wanted.kind == work_class::reading && !this->readings_have_room(where, limit)) {
+    if (this->wanted.kind == work_class::reading && !this->has_room_for_readings(where, limit)) {
         return false;
     }
-    return this->reports_room(where);
+    return this->has_reported_room(where);
 }
 
-// A slot is left to lookups wherever there are two; where there is one, readings must run at last.
-bool endpoint_choice::readings_have_room(const endpoint& where, double limit) const
+// Reserves at least one slot for lookups if there are several. If there is only one, readings may
+// use it, since they must run eventually.
+bool endpoint_choice::has_room_for_readings(const endpoint& where, double limit) const
 {
     const double share = std::min(std::floor(where.long_share * limit), limit - 1.0);
     return where.readings < std::max(1.0, share);
 }
 
-// Counts in what other routers have sent there.
-bool endpoint_choice::reports_room(const endpoint& where) const
+// Whether there is room by the endpoint's load reports, which include the requests of other
+// routers.
+bool endpoint_choice::has_reported_room(const endpoint& where) const
 {
     const auto held = where.load.held(this->now, this->settings.report_lifetime);
     const double capacity = where.load.capacity();
@@ -230,32 +238,33 @@
     if (this->wanted.kind == work_class::lookup) {
         return *held < capacity * this->settings.report_overcommit;
     }
-    // A reading that queues at the endpoint holds nothing but its place there.
+    // A reading in the endpoint's queue makes no progress, so it is not sent there to queue.
     return *held + 1.0 <= capacity && this->may_add_reading(where, *held);
 }
 
-// Whether the endpoint has a slot for one more reading, and this router may take it. What part of
-// the others' work is readings is not reported; it is taken to be as here, since callers are spread
-// over the routers.
+// Whether the endpoint has a slot for one more reading and this router may take it. Reports don't
+// tell how many of the others' requests are readings; the share is assumed to be the same as here,
+// since callers are spread over the routers.
 bool endpoint_choice::may_add_reading(const endpoint& where, double held) const
 {
     const double held_by_others = std::max(0.0, held - where.outstanding);
-    const double reading_part =
+    const double reading_share =
         this->own.readings / std::max(1.0, static_cast<double>(this->own.outstanding));
-    const double most = std::max(1.0, where.long_share * where.load.capacity());
-    const double open = most - where.readings - held_by_others * reading_part;
-    if (open < 1.0) {
+    const double reading_limit = std::max(1.0, where.long_share * where.load.capacity());
+    const double free_slots = reading_limit - where.readings - held_by_others * reading_share;
+    if (free_slots < 1.0) {
         return false;
     }
-    // All routers see the same slots come free, long after the fact; if each took them, readings
-    // would fill the slots of lookups and queue at the endpoint. Each takes as many as its part of
-    // the work there is; parts of a slot go by a draw that differs by router, for a second each.
+    // All routers see the same slots become free, with a delay. If each took them, readings would
+    // fill the slots of lookups and queue at the endpoint. So each takes slots in proportion to its
+    // share of the requests; fractions of a slot are decided by a draw that differs by router and
+    // is valid for a second.
     const auto period = static_cast<std::uint64_t>(this->now.time_since_epoch() / draw_period);
     const std::uint64_t draw = mix(period ^ mix(where.identity ^ this->settings.router_seed));
-    return open * this->own_part + unit_fraction(draw) >= 1.0;
+    return free_slots * this->own_share + unit_fraction(draw) >= 1.0;
 }
 
-// Requests held and work held, each against what the endpoint bears.
+// Requests and work in flight, each relative to the endpoint's capacity.
 double endpoint_choice::load_of(const endpoint& where) const
 {
     const double work = where.work + this->others.of(where.host).work;
@@ -268,30 +277,30 @@
     return work / this->settings.typical_work / where.capacity();
 }
 
-// This router's requests there and those of the others.
+// Requests in flight there, of this router and its peers.
 double endpoint_choice::requests_at(const endpoint& where) const
 {
-    const auto told = this->others.of(where.host).requests;
-    return static_cast<double>(where.outstanding + told);
+    const auto by_peers = this->others.of(where.host).requests;
+    return static_cast<double>(where.outstanding + by_peers);
 }
 
-// The endpoint that is likely to hold the prompt's beginning in its cache, or the one that takes
-// its overflow; null where both are full or loaded well over the mean.
+// The endpoint that is likely to have the prompt's prefix cached, or the next one as its overflow;
+// null if both are full or loaded well above the mean.
 const endpoint* endpoint_choice::choose_warm(const std::vector<endpoint*>& subset) const
 {
     if (this->wanted.prefix_hash == 0) {
         return nullptr;
     }
-    const double most = this->most_load_when_warm(subset);
+    const double max_load = this->max_load_when_warm(subset);
     for (const endpoint* where : ranked_first(subset, this->wanted.prefix_hash)) {
-        if (where != nullptr && this->has_room(*where) && this->load_of(*where) < most) {
+        if (where != nullptr && this->has_room(*where) && this->load_of(*where) < max_load) {
             return where;
         }
     }
     return nullptr;
 }
 
-double endpoint_choice::most_load_when_warm(const std::vector<endpoint*>& subset) const
+double endpoint_choice::max_load_when_warm(const std::vector<endpoint*>& subset) const
 {
     double total = 0.0;
     for (const endpoint* where : subset) {
@@ -301,8 +310,8 @@
     return std::max(this->settings.affinity_free_share, this->settings.affinity_load_factor * mean);
 }
 
-// Power of two choices: of two drawn at random the one less loaded. Always taking the least loaded
-// would send all routers to the same endpoint until its next report.
+// Power of two choices: the less loaded of two endpoints drawn at random. Always taking the least
+// loaded one would make all routers choose the same endpoint until its next report.
 std::optional<endpoint_choice::candidate>
 endpoint_choice::better_of_two(const std::vector<endpoint*>& among, std::uint64_t random) const
 {
--- a/decision/src/endpoint_choice.hpp
+++ b/decision/src/endpoint_choice.hpp
@@ -2,8 +2,8 @@
 #define PEARHAVEN_DECISION_ENDPOINT_CHOICE_HPP
 
 #include "endpoint_directory.hpp"
+#include "peer_loads.hpp"
 #include "prompt_map.hpp"
-#include "told_loads.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -13,40 +13,41 @@
 
 namespace pearhaven::decision {
 
-// This router's own requests under way, at all endpoints together.
+// This router's requests in flight, at all endpoints together.
 struct own_load {
     std::uint32_t outstanding = 0;
     std::uint32_t readings = 0;
 };
 
-// The endpoints that this router uses of a target: the first ones that are well and not to be
-// avoided, most of them in its own zone. All of them while they are few.
+// This router's subset of a target's endpoints: the first healthy ones that need not be avoided,
+// most of them in its own zone; all of them if there are few.
 [[nodiscard]] std::vector<endpoint*> subset_of(const route& from,
                                                const std::vector<std::string>& avoid, instant now,
                                                const endpoint_table_settings& settings);
 
-// What of the parts is not in the endpoint's cache, as work. `likely` is how likely it has one that
-// nothing is known of.
+// Work of those parts that are not in the endpoint's cache. `cached_probability` applies to parts
+// of which nothing is known.
 [[nodiscard]] double cold_work(const std::vector<prompt_part>& parts, const prompt_map& prompts,
-                               const endpoint& where, double likely, instant now);
+                               const endpoint& where, double cached_probability, instant now);
 
 // One choice among the endpoints of a route.
 class endpoint_choice {
 public:
-    // All that is passed by reference must outlive the choice.
+    // All arguments passed by reference must outlive the choice.
     endpoint_choice(const endpoint_table_settings& chosen, const placement& request,
-                    const own_load& load, const told_loads& told, const prompt_map& read,
+                    const own_load& load, const peer_loads& peers, const prompt_map& read,
                     instant at)
-        : settings(chosen), wanted(request), own(load), others(told), prompts(read), now(at)
+        : settings(chosen), wanted(request), own(load), others(peers), prompts(read), now(at)
     {}
 
-    // Null when none has room.
+    // Returns null if none has room.
     [[nodiscard]] const endpoint* choose(const route& from, std::uint64_t random);
 
-    // Of the endpoints that may be taken the one that is being filled already, else the one that
-    // every router ranks first, whatever its zone and its subset; null where none may. By rank
-    // alone an endpoint that was lost and comes back empty would take the place of its successor.
-    [[nodiscard]] const endpoint* packed_on(const route& from) const;
+    // The endpoint for concentrated requests: of the permitted endpoints the one that is already
+    // being filled, otherwise the one that all routers rank first, regardless of zone and subset;
+    // null if none is permitted. By rank alone, an endpoint that was lost and comes back empty
+    // would take over from its successor.
+    [[nodiscard]] const endpoint* concentration_endpoint(const route& from) const;
 
 private:
     struct candidate {
@@ -54,19 +55,19 @@
         double score = 0.0;
     };
 
-    [[nodiscard]] std::pair<bool, std::uint64_t> rank_of_packed(const endpoint& where) const;
+    [[nodiscard]] std::pair<bool, std::uint64_t> concentration_rank(const endpoint& where) const;
     [[nodiscard]] bool has_room(const endpoint& where) const;
-    [[nodiscard]] bool readings_have_room(const endpoint& where, double limit) const;
-    [[nodiscard]] bool reports_room(const endpoint& where) const;
+    [[nodiscard]] bool has_room_for_readings(const endpoint& where, double limit) const;
+    [[nodiscard]] bool has_reported_room(const endpoint& where) const;
     [[nodiscard]] bool may_add_reading(const endpoint& where, double held) const;
     [[nodiscard]] double load_of(const endpoint& where) const;
     [[nodiscard]] const endpoint* cheapest(const std::vector<endpoint*>& subset,
                                            std::uint64_t random) const;
-    [[nodiscard]] double reading_cost(const endpoint& where, double cold_work) const;
+    [[nodiscard]] double prefill_cost(const endpoint& where, double cold_work) const;
     [[nodiscard]] double requests_at(const endpoint& where) const;
     [[nodiscard]] double load_of_work(double work, const endpoint& where) const;
     [[nodiscard]] const endpoint* choose_warm(const std::vector<endpoint*>& subset) const;
-    [[nodiscard]] double most_load_when_warm(const std::vector<endpoint*>& subset) const;
+    [[nodiscard]] double max_load_when_warm(const std::vector<endpoint*>& subset) const;
     [[nodiscard]] std::optional<candidate> better_of_two(const std::vector<endpoint*>& open,
                                                          std::uint64_t random) const;
     [[nodiscard]] candidate weigh(const endpoint& where) const;
@@ -74,10 +75,10 @@
     const endpoint_table_settings& settings;
     const placement& wanted;
     const own_load& own;
-    const told_loads& others;
+    const peer_loads& others;
     const prompt_map& prompts;
     instant now;
-    double own_part = 1.0; // of all work at the endpoints
+    double own_share = 1.0; // of all requests at the endpoints
 };
 
 } // namespace pearhaven::decision
--- a/decision/src/endpoint_health.cpp
+++ b/decision/src/endpoint_health.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// A trial that lasts this long has met no dead endpoint; it may be a long answer. Waiting for its
-// end would leave the endpoint idle for minutes.
-constexpr duration trial_patience = std::chrono::seconds(3);
+// After this time a trial shows that the endpoint is reachable; it may just be a long answer, and
+// waiting for its end would leave the endpoint idle for minutes.
+constexpr duration trial_timeout = std::chrono::seconds(3);
 
 } // namespace
 
@@ -40,23 +40,23 @@
 {
     if (this->returning && !this->is_ejected(now)) {
         ++this->trials;
-        this->next_trial = now + trial_patience;
+        this->next_trial = now + trial_timeout;
     }
 }
 
 void endpoint_health::eject(instant now, const endpoint_table_settings& settings)
 {
-    // Attempts that were sent together fail together: that is one ejection.
+    // Attempts that were sent together fail together and cause one ejection.
     if (this->is_ejected(now)) {
         return;
     }
-    if (!this->returning && now - this->returned_at > settings.longest_ejection) {
+    if (!this->returning && now - this->returned_at > settings.max_ejection_time) {
         this->ejections = 0;
     }
-    constexpr std::uint32_t most_doublings = 16;
-    const duration wanted =
-        settings.first_ejection * (std::int64_t{1} << std::min(this->ejections, most_doublings));
-    this->ejected_until = now + std::min(wanted, settings.longest_ejection);
+    constexpr std::uint32_t max_doublings = 16;
+    const duration wanted = settings.initial_ejection_time *
+                            (std::int64_t{1} << std::min(this->ejections, max_doublings));
+    this->ejected_until = now + std::min(wanted, settings.max_ejection_time);
     ++this->ejections;
     this->returning = true;
     this->trials = 0;
@@ -64,11 +64,11 @@
     this->connections_silent = false;
 }
 
-// Connections can go silent for good while the endpoint is well, since something in between has
-// lost track of them; then all that were open hang at about the same time. Blaming the endpoint
-// would eject a healthy one, and several at once in the worst case. So the attempts that were under
-// way are forgiven. An attempt started since then had a fresh connection: if that goes silent too,
-// and nothing has finished in between, the endpoint itself hangs.
+// Connections can go silent for good while the endpoint is healthy, because a device in between has
+// lost their state; then all open connections hang at about the same time. Ejecting the endpoint,
+// or several at once in the worst case, would be wrong. So the attempts then in flight are not
+// counted against it. Later attempts had a fresh connection: if one of them goes silent too and
+// nothing has finished in between, the endpoint itself hangs.
 endpoint_health::verdict endpoint_health::on_silence(std::uint32_t others_outstanding)
 {
     if (!this->connections_silent) {
--- a/decision/src/endpoint_table.cpp
+++ b/decision/src/endpoint_table.cpp
@@ -2,7 +2,7 @@
 
 #include "endpoint_choice.hpp"
 #include "endpoint_directory.hpp"
-#include "told_loads.hpp"
+#include "peer_loads.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -15,7 +15,7 @@
 
 constexpr duration slowness_check_interval = std::chrono::seconds(1);
 
-// As listed, but with what is known of its leaving.
+// The listed host, with its current leaving state.
 endpoint_host current_host(const endpoint_directory& directory, const endpoint& where)
 {
     endpoint_host host = where.host;
@@ -23,15 +23,15 @@
     return host;
 }
 
-// Whether the endpoint is there and of that incarnation; of any, without one.
-bool is_at(const endpoint* where, std::optional<std::uint64_t> incarnation)
+// Whether the endpoint is known and has that incarnation; without one, any incarnation matches.
+bool has_incarnation(const endpoint* where, std::optional<std::uint64_t> incarnation)
 {
     return where != nullptr &&
            incarnation.value_or(where->host.incarnation) == where->host.incarnation;
 }
 
-// Where either side does not know the incarnation, nothing speaks against it.
-bool may_be_of(const endpoint* where, const load_report& report)
+// An unknown incarnation on either side matches.
+bool may_describe(const endpoint* where, const load_report& report)
 {
     if (where == nullptr) {
         return false;
@@ -46,39 +46,39 @@
 public:
     explicit state(endpoint_table_settings chosen) : settings(std::move(chosen)) {}
 
-    std::vector<ended_life> take(host_news news);
+    std::vector<ended_incarnation> apply(host_list_changes changes);
     void started(endpoint& where, work_class kind, double work, instant now);
     void ended(endpoint& where, work_class kind, double work, attempt_result result,
                duration first_token, instant now);
     [[nodiscard]] std::optional<std::string> choose(const placement& wanted, instant now,
                                                     std::uint64_t random);
-    [[nodiscard]] const endpoint* packed_on(const placement& wanted, instant now);
+    [[nodiscard]] const endpoint* concentration_endpoint(const placement& wanted, instant now);
     void add_used(std::set<std::string>& used, const std::string& name, bool is_service,
                   instant now);
 
     const endpoint_table_settings settings;
     endpoint_directory directory{this->settings};
-    told_loads others;
+    peer_loads others;
     prompt_map prompts;
 
-    // What others hold at the endpoints is read there.
-    void note_told(const std::vector<endpoint_load>& loads, instant now);
+    // Prompt parts of peers' requests are cached at their endpoints.
+    void record_peer_parts(const std::vector<endpoint_load>& loads, instant now);
 
-    // This router's requests there, and those of the others that it hears of.
+    // Requests in flight there, of this router and of the peers that report to it.
     [[nodiscard]] double requests_at(const endpoint& where) const
     {
         return static_cast<double>(where.outstanding + this->others.of(where.host).requests);
     }
 
-    // By which what this router knows of is multiplied, to stand for all `routers`.
-    [[nodiscard]] double unheard_factor(std::size_t routers) const;
+    // Factor that extrapolates from the routers that report here to all `routers`.
+    [[nodiscard]] double extrapolation_factor(std::size_t routers) const;
 
-    // The same for what is held at an endpoint that is being filled, of which more routers tell.
-    [[nodiscard]] double unheard_factor_when_filling(std::size_t routers) const;
+    // The same for an endpoint that is being filled, for which more routers report their load.
+    [[nodiscard]] double extrapolation_factor_when_filling(std::size_t routers) const;
 
 private:
-    void count_out(endpoint& where, work_class kind, double work, instant now);
-    void judge(endpoint& where, endpoint_health::verdict verdict, instant now);
+    void remove_attempt(endpoint& where, work_class kind, double work, instant now);
+    void apply_verdict(endpoint& where, endpoint_health::verdict verdict, instant now);
     bool is_slow(endpoint& where, work_class kind, duration first_token, bool on_trial,
                  instant now) const;
     [[nodiscard]] std::optional<double> usual_first_token(const endpoint& where,
@@ -88,15 +88,15 @@
     own_load own;
 };
 
-// What ran at processes that were replaced is held no longer.
-std::vector<ended_life> endpoint_table::state::take(host_news news)
+// Requests at replaced processes are no longer in flight.
+std::vector<ended_incarnation> endpoint_table::state::apply(host_list_changes changes)
 {
-    this->own.outstanding -= news.outstanding_lost;
-    this->own.readings -= news.readings_lost;
-    return std::move(news.ended);
+    this->own.outstanding -= changes.outstanding_lost;
+    this->own.readings -= changes.readings_lost;
+    return std::move(changes.ended);
 }
 
-void endpoint_table::state::note_told(const std::vector<endpoint_load>& loads, instant now)
+void endpoint_table::state::record_peer_parts(const std::vector<endpoint_load>& loads, instant now)
 {
     for (const auto& load : loads) {
         const endpoint* where = this->directory.find(load.address);
@@ -104,22 +104,22 @@
             continue;
         }
         for (const auto part : load.parts) {
-            this->prompts.note({where->identity, load.incarnation}, part, now);
+            this->prompts.record({where->identity, load.incarnation}, part, now);
         }
     }
 }
 
-double endpoint_table::state::unheard_factor(std::size_t routers) const
+double endpoint_table::state::extrapolation_factor(std::size_t routers) const
 {
-    const auto heard = static_cast<double>(this->others.routers() + 1);
-    return std::max(1.0, static_cast<double>(routers) / heard);
+    const auto known_routers = static_cast<double>(this->others.routers() + 1);
+    return std::max(1.0, static_cast<double>(routers) / known_routers);
 }
 
-double endpoint_table::state::unheard_factor_when_filling(std::size_t routers) const
+double endpoint_table::state::extrapolation_factor_when_filling(std::size_t routers) const
 {
     const auto peers = std::max<std::size_t>(routers, 1) - 1;
-    const auto usual = static_cast<double>(std::clamp<std::size_t>(peers, 1, told_usually));
-    const auto filling = static_cast<double>(std::min(peers, told_when_filling));
+    const auto usual = static_cast<double>(std::clamp<std::size_t>(peers, 1, load_fanout));
+    const auto filling = static_cast<double>(std::min(peers, load_fanout_when_filling));
     const double reach = std::min(1.0, static_cast<double>(this->others.routers()) / usual);
     return static_cast<double>(peers + 1) / (1.0 + reach * filling);
 }
@@ -143,7 +143,7 @@
         return;
     }
     const double in_use = where.outstanding;
-    this->count_out(where, kind, work, now);
+    this->remove_attempt(where, kind, work, now);
     const bool on_trial = where.health.on_trial();
     auto verdict = where.health.on_result(result, where.outstanding, now, this->settings);
     if (result == attempt_result::finished) {
@@ -155,10 +155,11 @@
     if (result == attempt_result::refused) {
         where.limit.on_refused(now, this->settings);
     }
-    this->judge(where, verdict, now);
+    this->apply_verdict(where, verdict, now);
 }
 
-void endpoint_table::state::count_out(endpoint& where, work_class kind, double work, instant now)
+void endpoint_table::state::remove_attempt(endpoint& where, work_class kind, double work,
+                                           instant now)
 {
     const std::uint32_t reading = kind == work_class::reading && where.readings > 0 ? 1 : 0;
     --where.outstanding;
@@ -169,7 +170,8 @@
     where.load.on_ended(now);
 }
 
-void endpoint_table::state::judge(endpoint& where, endpoint_health::verdict verdict, instant now)
+void endpoint_table::state::apply_verdict(endpoint& where, endpoint_health::verdict verdict,
+                                          instant now)
 {
     using health_verdict = endpoint_health::verdict;
     if (verdict == health_verdict::returned) {
@@ -184,8 +186,8 @@
     }
 }
 
-// When most endpoints fail or are slow, the cause lies elsewhere, as with a bad version; taking
-// them out would leave the rest with a load they cannot bear.
+// If most endpoints fail or are slow, the cause lies elsewhere, such as a bad version; ejecting
+// them would overload the rest.
 bool endpoint_table::state::can_spare(const endpoint& where, instant now) const
 {
     const auto& peers = this->directory.peers_of(where);
@@ -193,11 +195,12 @@
         return peer != &where && peer->health.is_ejected(now);
     });
     const auto used = static_cast<double>(std::min(peers.size(), this->settings.subset_size));
-    const double most = std::max(1.0, std::floor(this->settings.max_ejected_share * used));
-    return peers.size() > 1 && static_cast<double>(ejected + 1) <= most;
+    const double max_ejected = std::max(1.0, std::floor(this->settings.max_ejected_share * used));
+    return peers.size() > 1 && static_cast<double>(ejected + 1) <= max_ejected;
 }
 
-// One answer proves slowness only on trial: there it was known before.
+// A single answer proves slowness only during a trial, when the endpoint is already suspected;
+// otherwise several samples are needed.
 bool endpoint_table::state::is_slow(endpoint& where, work_class kind, duration first_token,
                                     bool on_trial, instant now) const
 {
@@ -206,8 +209,8 @@
     }
     first_token_mean& own_mean = where.first_token(kind);
     own_mean.add(static_cast<double>(first_token.count()));
-    const bool enough = own_mean.samples >= this->settings.slow_samples;
-    if (!on_trial && (!enough || now < where.next_slowness_check)) {
+    const bool has_enough_samples = own_mean.samples >= this->settings.slow_samples;
+    if (!on_trial && (!has_enough_samples || now < where.next_slowness_check)) {
         return false;
     }
     where.next_slowness_check = now + slowness_check_interval;
@@ -238,18 +241,18 @@
                                                          std::uint64_t random)
 {
     const route& from = this->directory.route_for(wanted.version_or_service, wanted.is_service);
-    this->others.expire(now, this->settings.told_lifetime);
+    this->others.expire(now, this->settings.peer_load_lifetime);
     this->prompts.expire(now);
     endpoint_choice choice(this->settings, wanted, this->own, this->others, this->prompts, now);
     const endpoint* const chosen = choice.choose(from, random);
     return chosen == nullptr ? std::nullopt : std::make_optional(chosen->host.address);
 }
 
-const endpoint* endpoint_table::state::packed_on(const placement& wanted, instant now)
+const endpoint* endpoint_table::state::concentration_endpoint(const placement& wanted, instant now)
 {
     const route& from = this->directory.route_for(wanted.version_or_service, wanted.is_service);
     return endpoint_choice(this->settings, wanted, this->own, this->others, this->prompts, now)
-        .packed_on(from);
+        .concentration_endpoint(from);
 }
 
 void endpoint_table::state::add_used(std::set<std::string>& used, const std::string& name,
@@ -272,20 +275,20 @@
     this->inner->directory.configure(current);
 }
 
-std::vector<ended_life> endpoint_table::set_hosts(const std::vector<endpoint_host>& hosts,
-                                                  instant now)
+std::vector<ended_incarnation> endpoint_table::set_hosts(const std::vector<endpoint_host>& hosts,
+                                                         instant now)
 {
-    return this->inner->take(this->inner->directory.set_hosts(hosts, now));
+    return this->inner->apply(this->inner->directory.set_hosts(hosts, now));
 }
 
-std::vector<ended_life> endpoint_table::set_host(const endpoint_host& host, instant now)
+std::vector<ended_incarnation> endpoint_table::set_host(const endpoint_host& host, instant now)
 {
-    return this->inner->take(this->inner->directory.set_host(host, now));
+    return this->inner->apply(this->inner->directory.set_host(host, now));
 }
 
-std::vector<ended_life> endpoint_table::drop_host(const std::string& address, instant now)
+std::vector<ended_incarnation> endpoint_table::drop_host(const std::string& address, instant now)
 {
-    return this->inner->take(this->inner->directory.drop_host(address, now));
+    return this->inner->apply(this->inner->directory.drop_host(address, now));
 }
 
 void endpoint_table::mark_leaving(const std::string& address, std::uint64_t incarnation,
@@ -301,7 +304,7 @@
         this->inner->started(*where, kind, work, now);
         where->add(parts);
         for (const auto& part : parts) {
-            this->inner->prompts.note(where->life(), part.key, now);
+            this->inner->prompts.record(where->current_incarnation(), part.key, now);
         }
     }
 }
@@ -312,17 +315,17 @@
                            const std::vector<prompt_part>& parts)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation)) {
+    if (has_incarnation(where, incarnation)) {
         where->remove(parts);
         this->inner->ended(*where, kind, work, result, first_token, now);
     }
 }
 
-void endpoint_table::lightened(const std::string& address, double work,
-                               std::optional<std::uint64_t> incarnation)
+void endpoint_table::work_completed(const std::string& address, double work,
+                                    std::optional<std::uint64_t> incarnation)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation)) {
+    if (has_incarnation(where, incarnation)) {
         where->work = std::max(0.0, where->work - work);
     }
 }
@@ -330,7 +333,7 @@
 void endpoint_table::answer_began(const std::string& address, std::uint64_t incarnation)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation)) {
+    if (has_incarnation(where, incarnation)) {
         ++where->writing;
     }
 }
@@ -338,7 +341,7 @@
 void endpoint_table::answer_ended(const std::string& address, std::uint64_t incarnation)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (is_at(where, incarnation) && where->writing > 0) {
+    if (has_incarnation(where, incarnation) && where->writing > 0) {
         --where->writing;
     }
 }
@@ -346,7 +349,7 @@
 bool endpoint_table::reported(const std::string& address, const load_report& report, instant now)
 {
     endpoint* where = this->inner->directory.find(address);
-    if (!may_be_of(where, report)) {
+    if (!may_describe(where, report)) {
         return false;
     }
     where->load.on_report(report, now);
@@ -368,10 +371,11 @@
            std::any_of(known.remote.begin(), known.remote.end(), stays);
 }
 
-void endpoint_table::told(const std::string& router, std::vector<endpoint_load> loads, instant now)
+void endpoint_table::peer_reported(const std::string& router, std::vector<endpoint_load> loads,
+                                   instant now)
 {
-    this->inner->note_told(loads, now);
-    this->inner->others.on_told(router, std::move(loads), now);
+    this->inner->record_peer_parts(loads, now);
+    this->inner->others.on_report(router, std::move(loads), now);
 }
 
 double endpoint_table::cold_work_at(const std::string& address,
@@ -388,7 +392,7 @@
         return 0.0;
     }
     const double known = where->work + this->inner->others.of(where->host).work;
-    return known * this->inner->unheard_factor(routers);
+    return known * this->inner->extrapolation_factor(routers);
 }
 
 double endpoint_table::writing_per_slot(const std::string& address, std::size_t routers) const
@@ -397,28 +401,29 @@
     if (where == nullptr || where->capacity() <= 0.0) {
         return 0.0;
     }
-    const auto told = this->inner->others.of(where->host).writing;
-    const auto known = static_cast<double>(where->writing + told);
-    return known * this->inner->unheard_factor_when_filling(routers) / where->capacity();
+    const auto by_peers = this->inner->others.of(where->host).writing;
+    const auto known = static_cast<double>(where->writing + by_peers);
+    return known * this->inner->extrapolation_factor_when_filling(routers) / where->capacity();
 }
 
-bool endpoint_table::has_packed_room(const placement& wanted, std::size_t routers,
-                                     instant now) const
+bool endpoint_table::has_concentrated_room(const placement& wanted, std::size_t routers,
+                                           instant now) const
 {
-    const endpoint* where = this->inner->packed_on(wanted, now);
+    const endpoint* where = this->inner->concentration_endpoint(wanted, now);
     if (where == nullptr) {
         return false;
     }
-    return this->inner->requests_at(*where) * this->inner->unheard_factor_when_filling(routers) <
-           this->inner->settings.packed_per_slot * where->capacity();
+    return this->inner->requests_at(*where) *
+               this->inner->extrapolation_factor_when_filling(routers) <
+           this->inner->settings.concentrated_per_slot * where->capacity();
 }
 
-double endpoint_table::packed_requests(const std::string& version, instant now) const
+double endpoint_table::concentrated_requests(const std::string& version, instant now) const
 {
     placement wanted;
     wanted.version_or_service = version;
-    wanted.packed = true;
-    const endpoint* where = this->inner->packed_on(wanted, now);
+    wanted.concentrated = true;
+    const endpoint* where = this->inner->concentration_endpoint(wanted, now);
     return where == nullptr ? 0.0 : this->inner->requests_at(*where);
 }
 
--- /dev/null
+++ b/decision/src/peer_loads.cpp
@@ -0,0 +1,65 @@
+#include "peer_loads.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace pearhaven::decision {
+
+void peer_loads::on_report(const std::string& router, std::vector<endpoint_load> loads, instant now)
+{
+    auto& report = this->reports[router];
+    this->add(report, -1);
+    report = {std::move(loads), now};
+    this->add(report, 1);
+}
+
+void peer_loads::expire(instant now, duration lifetime)
+{
+    for (auto at = this->reports.begin(); at != this->reports.end();) {
+        if (now - at->second.received <= lifetime) {
+            ++at;
+            continue;
+        }
+        this->add(at->second, -1);
+        at = this->reports.erase(at);
+    }
+}
+
+void peer_loads::add(const peer_report& report, int sign)
+{
+    for (const auto& load : report.loads) {
+        auto& incarnations = this->sums[load.address];
+        const auto is_same = [&load](const incarnation_sum& one) {
+            return one.incarnation == load.incarnation;
+        };
+        auto found_sum = std::find_if(incarnations.begin(), incarnations.end(), is_same);
+        if (found_sum == incarnations.end()) {
+            found_sum = incarnations.insert(found_sum, {load.incarnation, {}});
+        }
+        auto& total = found_sum->total;
+        total.requests += sign * static_cast<std::int64_t>(load.requests);
+        total.writing += sign * static_cast<std::int64_t>(load.writing);
+        total.work = std::max(0.0, total.work + sign * load.work);
+        if (total.requests <= 0) {
+            incarnations.erase(found_sum);
+        }
+        if (incarnations.empty()) {
+            this->sums.erase(load.address);
+        }
+    }
+}
+
+peer_loads::sum peer_loads::of(const endpoint_host& where) const
+{
+    const auto found = this->sums.find(where.address);
+    if (found == this->sums.end()) {
+        return {};
+    }
+    const auto& incarnations = found->second;
+    const auto found_sum = std::find_if(
+        incarnations.begin(), incarnations.end(),
+        [&where](const incarnation_sum& one) { return one.incarnation == where.incarnation; });
+    return found_sum == incarnations.end() ? sum() : found_sum->total;
+}
+
+} // namespace pearhaven::decision
--- /dev/null
+++ b/decision/src/peer_loads.hpp
@@ -0,0 +1,57 @@
+#ifndef PEARHAVEN_DECISION_PEER_LOADS_HPP
+#define PEARHAVEN_DECISION_PEER_LOADS_HPP
+
+#include "pearhaven/decision/endpoint_table.hpp"
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+namespace pearhaven::decision {
+
+// The sum of the loads that the other routers report at the endpoints. A router's latest report
+// replaces its previous one. Reports expire, because a silent router's callers have moved elsewhere
+// or its requests have ended without a report.
+class peer_loads {
+public:
+    struct sum {
+        std::int64_t requests = 0;
+        double work = 0.0;
+        std::int64_t writing = 0; // answers being written
+    };
+
+    // The complete load of the router; an endpoint that is not listed has none of its requests.
+    void on_report(const std::string& router, std::vector<endpoint_load> loads, instant now);
+
+    // Drops the reports older than `lifetime`.
+    void expire(instant now, duration lifetime);
+
+    // Number of routers with a current report.
+    [[nodiscard]] std::size_t routers() const { return this->reports.size(); }
+
+    // Only at this incarnation: requests sent to an earlier one ended with it.
+    [[nodiscard]] sum of(const endpoint_host& where) const;
+
+private:
+    struct peer_report {
+        std::vector<endpoint_load> loads;
+        instant received;
+    };
+
+    struct incarnation_sum {
+        std::uint64_t incarnation = 0;
+        sum total;
+    };
+
+    // `sign` is 1 to add the report, -1 to remove it.
+    void add(const peer_report& report, int sign);
+
+    std::map<std::string, peer_report> reports;                         // by router
+    std::unordered_map<std::string, std::vector<incarnation_sum>> sums; // by address
+};
+
+} // namespace pearhaven::decision
+
+#endif
--- a/decision/src/rollout_evidence.cpp
+++ b/decision/src/rollout_evidence.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Runs between two false alarms of a version exactly at the base rate, at least.
+// Lower bound of the mean number of runs between false alarms of a version exactly at the base
+// rate.
 constexpr double runs_between_alarms = 1e9;
 
 } // namespace
@@ -58,12 +59,12 @@
     return ratio <= this->lower ? test_verdict::accepted : test_verdict::open;
 }
 
-void version_watch::on_end(const sequential_test& test, bool good)
+void cusum_test::on_end(const sequential_test& test, bool good)
 {
     this->sum = std::max(0.0, this->sum + test.step_of(good));
 }
 
-bool version_watch::is_tripped() const
+bool cusum_test::is_tripped() const
 {
     return this->sum >= std::log(runs_between_alarms);
 }
--- a/decision/src/speed_reference.cpp
+++ b/decision/src/speed_reference.cpp
@@ -4,15 +4,16 @@
 
 namespace {
 
-// Part of the estimate that one answer may move it by; it then follows the load within some tens of
+// Relative change of the estimate by one answer; it then follows the load within some tens of
 // answers.
 constexpr double gain = 0.1;
 
-constexpr std::uint32_t least_samples = 8;
+constexpr std::uint32_t min_samples = 8;
 
 } // namespace
 
-// Stochastic approximation of a quantile: the steps up and down balance where the share holds.
+// Stochastic approximation of a quantile: the steps up and down cancel out when the configured
+// share of answers is below the estimate.
 void speed_reference::learn(const std::string& model, std::uint32_t size, duration seen)
 {
     const auto time = static_cast<double>(seen.count());
@@ -30,12 +31,12 @@
                                              duration seen) const
 {
     const auto known = this->estimates.find({model, size});
-    if (known == this->estimates.end() || known->second.samples < least_samples) {
+    if (known == this->estimates.end() || known->second.samples < min_samples) {
         return std::nullopt;
     }
     const auto noise = static_cast<double>(this->settings.noise.count());
-    const double most = known->second.time * this->settings.factor + noise;
-    return static_cast<double>(seen.count()) > most;
+    const double limit = known->second.time * this->settings.factor + noise;
+    return static_cast<double>(seen.count()) > limit;
 }
 
 } // namespace pearhaven::decision
