--- a/router/include/pearhaven/router/caller_dialect.hpp
+++ b/router/include/pearhaven/router/caller_dialect.hpp
@@ -47,11 +47,11 @@
 
 enum class answer_meaning : std::uint8_t {
     success,
-    endpoint_error,   // it ran and failed, or may have run
-    refused,          // it has not run: no room
-    refused_leaving,  // it has not run: the endpoint takes no more work
-    refused_stranger, // it has not run: another process has the address now
-    of_other_request, // an answer to an earlier request on the connection
+    endpoint_error,        // it ran and failed, or may have run
+    refused,               // it has not run: no room
+    refused_leaving,       // it has not run: the endpoint takes no more work
+    refused_other_process, // it has not run: another process has the address now
+    of_other_request,      // an answer to an earlier request on the connection
 };
 
 struct answer_facts {
--- a/router/include/pearhaven/router/peer_desk.hpp
+++ b/router/include/pearhaven/router/peer_desk.hpp
@@ -22,19 +22,19 @@
 [[nodiscard]] std::string write_peer(const coordination::peer_router& where);
 [[nodiscard]] std::optional<coordination::peer_router> read_peer(std::string_view text);
 
-struct peer_desk_settings {
+struct peer_messenger_settings {
     std::string self; // name, under which the others know this router
     coordination::peer_router listens_at;
 
     // Within which a change of the store has to be heard of.
-    decision::duration news_bound = std::chrono::seconds(2);
+    decision::duration max_update_delay = std::chrono::seconds(2);
 };
 
 // Talks with the other routers over the peer link, for an embedder that runs on an event loop: what
 // they hold goes to the dispatcher, what they know of the store into the mirror. The link has a
 // thread of its own, since frames of a slow or hostile peer must not hold up requests; everything
 // else runs on the loop.
-class peer_desk {
+class peer_messenger {
 public:
     struct parts {
         adapters::event_loop& loop;
@@ -45,7 +45,7 @@
     };
 
     // What is passed by reference must outlive the desk, and the loop must not run after it.
-    peer_desk(parts used, const peer_desk_settings& settings);
+    peer_messenger(parts used, const peer_messenger_settings& settings);
 
     // Opens the link. Routers hear only those that hold the same key. Later calls change nothing.
     // Where the address cannot be listened on, a line says so, and this router goes on without.
@@ -59,7 +59,7 @@
 
     // Passes on what the store has told the mirror, where others go by it. To be called after each
     // answer of the store.
-    void pass_on_news();
+    void forward_updates();
 
 private:
     void take(const std::string& from, const adapters::peer_address& reply_to,
@@ -71,7 +71,7 @@
     void answer(const adapters::peer_address& to, const coordination::mirror_pull& asked);
 
     parts used;
-    peer_desk_settings settings;
+    peer_messenger_settings settings;
     coordination::peer_exchange exchange;
     coordination::watch_share share;
     coordination::watch_mode mode = coordination::watch_mode::alone;
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -84,7 +84,7 @@
 bool is_refusal(answer_meaning meaning)
 {
     return meaning == answer_meaning::refused || meaning == answer_meaning::refused_leaving ||
-           meaning == answer_meaning::refused_stranger;
+           meaning == answer_meaning::refused_other_process;
 }
 
 // When a piece came from an endpoint, and from which of its lives: what the one before said shows
--- a/router/src/peer_desk.cpp
+++ b/router/src/peer_desk.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-coordination::peer_exchange_settings exchange_settings_for(const peer_desk_settings& settings)
+coordination::peer_exchange_settings exchange_settings_for(const peer_messenger_settings& settings)
 {
     coordination::peer_exchange_settings made;
     made.self = settings.self;
@@ -20,13 +20,13 @@
     return made;
 }
 
-coordination::watch_share_settings share_settings_for(const peer_desk_settings& settings)
+coordination::watch_share_settings share_settings_for(const peer_messenger_settings& settings)
 {
     coordination::watch_share_settings made;
     made.self = settings.self;
     made.zone = settings.listens_at.zone;
-    made.word_lifetime = settings.news_bound * 3 / 5;
-    made.spread = settings.news_bound / 10;
+    made.word_lifetime = settings.max_update_delay * 3 / 5;
+    made.spread = settings.max_update_delay / 10;
     return made;
 }
 
@@ -67,12 +67,12 @@
     return whole ? std::make_optional(read) : std::nullopt;
 }
 
-peer_desk::peer_desk(parts all, const peer_desk_settings& chosen)
+peer_messenger::peer_messenger(parts all, const peer_messenger_settings& chosen)
     : used(std::move(all)), settings(chosen), exchange(exchange_settings_for(chosen)),
       share(share_settings_for(chosen))
 {}
 
-void peer_desk::open(const std::string& fleet_key)
+void peer_messenger::open(const std::string& fleet_key)
 {
     if (this->link) {
         return;
@@ -96,19 +96,19 @@
     }
 }
 
-void peer_desk::set_peer(const std::string& name, const coordination::peer_router& where)
+void peer_messenger::set_peer(const std::string& name, const coordination::peer_router& where)
 {
     this->exchange.set_peer(name, where);
     this->share.set_peer(name, where.zone);
 }
 
-void peer_desk::drop_peer(const std::string& name)
+void peer_messenger::drop_peer(const std::string& name)
 {
     this->exchange.drop_peer(name);
     this->share.drop_peer(name);
 }
 
-void peer_desk::tick()
+void peer_messenger::tick()
 {
     if (!this->link) {
         return;
@@ -124,8 +124,8 @@
     }
 }
 
-void peer_desk::take(const std::string& from, const adapters::peer_address& reply_to,
-                     const coordination::peer_message& message)
+void peer_messenger::take(const std::string& from, const adapters::peer_address& reply_to,
+                          const coordination::peer_message& message)
 {
     if (const auto* told = std::get_if<coordination::load_push>(&message)) {
         this->used.dispatcher.on_loads_told(from, told->loads, this->used.loop.now());
@@ -136,7 +136,7 @@
     }
 }
 
-void peer_desk::set_watch_mode()
+void peer_messenger::set_watch_mode()
 {
     const auto wanted = this->share.mode(this->used.loop.now());
     if (wanted != this->mode) {
@@ -148,7 +148,7 @@
     }
 }
 
-void peer_desk::pass_on_news()
+void peer_messenger::forward_updates()
 {
     const auto& mirror = this->used.mirror;
     const bool passes_on = this->link && this->mode == coordination::watch_mode::for_others &&
@@ -177,8 +177,8 @@
 
 // What a watcher passes on follows what it passed on before. Whoever missed that asks it for the
 // rest, unless it has to ask the store anyway; what the word itself tells holds all the same.
-void peer_desk::take(const std::string& from, const adapters::peer_address& reply_to,
-                     const coordination::mirror_news& news)
+void peer_messenger::take(const std::string& from, const adapters::peer_address& reply_to,
+                          const coordination::mirror_news& news)
 {
     if (news.nonce != 0) {
         this->tell_mirror(from, news);
@@ -198,7 +198,7 @@
 
 // The store may serve the one that asks again before the answer comes; what is told late is older
 // than what is known, and changes nothing.
-void peer_desk::tell_mirror(const std::string& from, const coordination::mirror_news& news)
+void peer_messenger::tell_mirror(const std::string& from, const coordination::mirror_news& news)
 {
     if (!this->exchange.takes(news)) {
         return;
@@ -218,7 +218,8 @@
     this->used.on_news();
 }
 
-void peer_desk::answer(const adapters::peer_address& to, const coordination::mirror_pull& asked)
+void peer_messenger::answer(const adapters::peer_address& to,
+                            const coordination::mirror_pull& asked)
 {
     auto news = this->used.mirror.news_after(asked.after);
     if (news && this->link) {
