--- a/router/include/pearhaven/router/peer_desk.hpp
+++ b/router/include/pearhaven/router/peer_messenger.hpp
@@ -1,5 +1,5 @@
-#ifndef PEARHAVEN_ROUTER_PEER_DESK_HPP
-#define PEARHAVEN_ROUTER_PEER_DESK_HPP
+#ifndef PEARHAVEN_ROUTER_PEER_MESSENGER_HPP
+#define PEARHAVEN_ROUTER_PEER_MESSENGER_HPP
 
 #include "pearhaven/adapters/event_loop.hpp"
 #include "pearhaven/adapters/metrics.hpp"
--- a/router/src/fleet_duty.cpp
+++ b/router/src/fleet_worker.cpp
@@ -1,4 +1,4 @@
-#include "fleet_duty.hpp"
+#include "fleet_worker.hpp"
 
 #include "clock.hpp"
 
--- a/router/src/fleet_duty.hpp
+++ b/router/src/fleet_worker.hpp
@@ -1,9 +1,9 @@
-#ifndef PEARHAVEN_ROUTER_FLEET_DUTY_HPP
-#define PEARHAVEN_ROUTER_FLEET_DUTY_HPP
+#ifndef PEARHAVEN_ROUTER_FLEET_WORKER_HPP
+#define PEARHAVEN_ROUTER_FLEET_WORKER_HPP
 
 #include "fleet_event.hpp"
 #include "published.hpp"
-#include "rollout_keeper.hpp"
+#include "rollout_controller.hpp"
 #include "routing_event.hpp"
 
 #include "pearhaven/adapters/bounded_ring.hpp"
--- a/router/src/rollout_keeper.cpp
+++ b/router/src/rollout_controller.cpp
@@ -1,4 +1,4 @@
-#include "rollout_keeper.hpp"
+#include "rollout_controller.hpp"
 
 #include "rollout_subject.hpp"
 
--- a/router/src/rollout_keeper.hpp
+++ b/router/src/rollout_controller.hpp
@@ -1,5 +1,5 @@
-#ifndef PEARHAVEN_ROUTER_ROLLOUT_KEEPER_HPP
-#define PEARHAVEN_ROUTER_ROLLOUT_KEEPER_HPP
+#ifndef PEARHAVEN_ROUTER_ROLLOUT_CONTROLLER_HPP
+#define PEARHAVEN_ROUTER_ROLLOUT_CONTROLLER_HPP
 
 #include "pearhaven/coordination/config_head.hpp"
 #include "pearhaven/coordination/config_writer.hpp"
--- a/router/src/router.cpp
+++ b/router/src/router.cpp
@@ -2,10 +2,10 @@
 
 #include "caller_server.hpp"
 #include "clock.hpp"
-#include "fleet_duty.hpp"
+#include "fleet_worker.hpp"
 #include "operator_server.hpp"
 #include "published.hpp"
-#include "routing_duty.hpp"
+#include "routing_worker.hpp"
 
 #include "pearhaven/adapters/authenticator.hpp"
 #include "pearhaven/adapters/log.hpp"
--- a/router/src/routing_duty.cpp
+++ b/router/src/routing_worker.cpp
@@ -1,4 +1,4 @@
-#include "routing_duty.hpp"
+#include "routing_worker.hpp"
 
 #include "engine_event.hpp"
 
--- a/router/src/routing_duty.hpp
+++ b/router/src/routing_worker.hpp
@@ -1,5 +1,5 @@
-#ifndef PEARHAVEN_ROUTER_ROUTING_DUTY_HPP
-#define PEARHAVEN_ROUTER_ROUTING_DUTY_HPP
+#ifndef PEARHAVEN_ROUTER_ROUTING_WORKER_HPP
+#define PEARHAVEN_ROUTER_ROUTING_WORKER_HPP
 
 #include "engine_attempt.hpp"
 #include "fleet_event.hpp"
--- a/router/test/peer_desk_test.cpp
+++ b/router/test/peer_messenger_test.cpp
@@ -1,4 +1,4 @@
-#include "pearhaven/router/peer_desk.hpp"
+#include "pearhaven/router/peer_messenger.hpp"
 
 #include <CppUTest/TestHarness.h>
 
