--- a/router/include/pearhaven/router/event_relay.hpp
+++ b/router/include/pearhaven/router/event_relay.hpp
@@ -22,29 +22,29 @@
     // Parts of the objective that an endpoint may be silent before its answer, where another one
     // may be asked instead. A plain answer takes a fifth of its objective, so twice the objective
     // is an endpoint that hangs. A stream's first piece waits for its prompt to be read.
-    double plain_patience = 2.0;
-    double stream_patience = 0.6;
-    decision::duration least_patience = std::chrono::milliseconds(250);
+    double plain_timeout_ratio = 2.0;
+    double stream_timeout_ratio = 0.6;
+    decision::duration min_answer_timeout = std::chrono::milliseconds(250);
 
     // Part of the longest pause that a stream may be silent before another endpoint goes on with
     // it: the rest is for the new run's first piece.
-    double pause_patience = 1.4;
+    double pause_timeout_ratio = 1.4;
 
     // A piece on any connection of an endpoint shows for so long that the endpoint lives.
-    decision::duration sign_of_life = std::chrono::milliseconds(1500);
+    decision::duration liveness_window = std::chrono::milliseconds(1500);
 
     // Waits in a row without a piece after which even an endpoint that lives is given up.
-    std::uint32_t most_silences = 3;
+    std::uint32_t max_silences = 3;
 
     // Of one answer, what its caller has not taken yet; beyond it the endpoint is not read.
-    std::size_t most_unsent = 64U << 10U;
+    std::size_t max_unsent = 64U << 10U;
 
     // Of one event of a stream, whose end has not come. Events hold some pieces of text; one
     // without an end would fill the memory.
-    std::size_t most_event = 1U << 20U;
+    std::size_t max_event_size = 1U << 20U;
 
     // Of a plain answer, what is kept so that it can be repeated elsewhere if it breaks off.
-    std::size_t most_held = 256U << 10U;
+    std::size_t max_buffered = 256U << 10U;
 };
 
 // Carries requests between callers and endpoints on one thread: it asks the dispatcher what to do
--- a/router/include/pearhaven/router/peer_messenger.hpp
+++ b/router/include/pearhaven/router/peer_messenger.hpp
@@ -24,7 +24,7 @@
 
 struct peer_messenger_settings {
     std::string self; // name, under which the others know this router
-    coordination::peer_router listens_at;
+    coordination::peer_router listen_address;
 
     // Within which a change of the store has to be heard of.
     decision::duration max_update_delay = std::chrono::seconds(2);
@@ -36,16 +36,16 @@
 // else runs on the loop.
 class peer_messenger {
 public:
-    struct parts {
+    struct dependencies {
         adapters::event_loop& loop;
         coordination::prefix_mirror& mirror;
         decision::dispatcher& dispatcher;
         adapters::metrics& counts;
-        std::function<void()> on_news; // the mirror has been told something
+        std::function<void()> on_updates; // the mirror has been told something
     };
 
     // What is passed by reference must outlive the desk, and the loop must not run after it.
-    peer_messenger(parts used, const peer_messenger_settings& settings);
+    peer_messenger(dependencies deps, const peer_messenger_settings& settings);
 
     // Opens the link. Routers hear only those that hold the same key. Later calls change nothing.
     // Where the address cannot be listened on, a line says so, and this router goes on without.
@@ -62,21 +62,21 @@
     void forward_updates();
 
 private:
-    void take(const std::string& from, const adapters::peer_address& reply_to,
-              const coordination::peer_message& message);
-    void take(const std::string& from, const adapters::peer_address& reply_to,
-              const coordination::mirror_news& news);
+    void handle(const std::string& from, const adapters::peer_address& reply_to,
+                const coordination::peer_message& message);
+    void handle(const std::string& from, const adapters::peer_address& reply_to,
+                const coordination::mirror_news& updates);
     void set_watch_mode();
-    void tell_mirror(const std::string& from, const coordination::mirror_news& news);
-    void answer(const adapters::peer_address& to, const coordination::mirror_pull& asked);
+    void update_mirror(const std::string& from, const coordination::mirror_news& updates);
+    void answer(const adapters::peer_address& to, const coordination::mirror_pull& pull);
 
-    parts used;
+    dependencies deps;
     peer_messenger_settings settings;
     coordination::peer_exchange exchange;
     coordination::watch_share share;
     coordination::watch_mode mode = coordination::watch_mode::alone;
-    coordination::store_revision passed_on = 0; // up to where the others have been told
-    decision::instant passed_on_at;             // of the store's answer that was passed on last
+    coordination::store_revision forwarded_revision = 0; // up to where the others have been told
+    decision::instant forwarded_confirmation; // of the store's answer that was passed on last
     std::unique_ptr<adapters::peer_link> link;
 };
 
--- a/router/include/pearhaven/router/router.hpp
+++ b/router/include/pearhaven/router/router.hpp
@@ -26,7 +26,7 @@
     // a quiet time no new work is taken; requests in flight run to their end and their bills land.
     // `hurry` is asked now and then: true ends the wait and cuts off what is left.
     // Returns the number of requests that were cut off.
-    std::size_t drain(const std::function<bool()>& hurry);
+    std::size_t drain(const std::function<bool()>& stop_now);
 
 private:
     class parts;
--- a/router/src/answer_relay.cpp
+++ b/router/src/answer_relay.cpp
@@ -41,7 +41,7 @@
 }
 
 // Fields that belong to one connection only, or that this router writes itself.
-bool is_passed_on(const std::string& name)
+bool is_forwarded(const std::string& name)
 {
     constexpr std::array<std::string_view, 6> own = {
         "connection", "transfer-encoding", "keep-alive", "content-length", "content-type", "date"};
@@ -117,13 +117,13 @@
 bool answer_relay::take_failure(const answer_failed& failed, relay_end& end)
 {
     end.why = failed.why;
-    const auto form = form_of(failed.why);
+    const auto response = to_error_response(failed.why);
     if (this->begun) {
-        static_cast<void>(this->on_failure_midway(form));
+        static_cast<void>(this->on_failure_midway(response));
         return true;
     }
-    this->status = form.status;
-    static_cast<void>(send_failure(this->caller, form, this->answer_headers));
+    this->status = response.status;
+    static_cast<void>(send_failure(this->caller, response, this->answer_headers));
     return true;
 }
 
@@ -158,9 +158,9 @@
     return send_piece(this->connection(), text) && end_stream(this->connection());
 }
 
-bool streamed_chat::on_failure_midway(const failure_form& form)
+bool streamed_chat::on_failure_midway(const error_response& response)
 {
-    return send_piece(this->connection(), "event: error\n" + to_event(form.body)) &&
+    return send_piece(this->connection(), "event: error\n" + to_event(response.body)) &&
            end_stream(this->connection());
 }
 
@@ -198,22 +198,22 @@
                        answer.dump());
 }
 
-bool collected_chat::on_failure_midway(const failure_form& form)
+bool collected_chat::on_failure_midway(const error_response& response)
 {
-    return send_failure(this->connection(), form, this->headers());
+    return send_failure(this->connection(), response, this->headers());
 }
 
 std::string service_answer::outcome() const
 {
-    constexpr std::size_t largest_outcome = 1024;
+    constexpr std::size_t max_outcome_size = 1024;
     return "status " + std::to_string(this->head.status) + ": " +
-           this->held.substr(0, largest_outcome);
+           this->buffered.substr(0, max_outcome_size);
 }
 
 void service_answer::on_restart()
 {
     this->head = {};
-    this->held.clear();
+    this->buffered.clear();
 }
 
 void service_answer::on_head(service_head& received)
@@ -223,12 +223,12 @@
 
 // The router's own fields and the service's; the service's content type, if it has one, goes to
 // `type`.
-header_list service_answer::passed_on_fields(std::string& type) const
+header_list service_answer::forwarded_fields(std::string& type) const
 {
     header_list fields = this->headers();
     for (const auto& [name, value] : this->head.headers) {
         type = name == "content-type" ? value : type;
-        if (is_passed_on(name)) {
+        if (is_forwarded(name)) {
             fields.emplace_back(name, value);
         }
     }
@@ -237,36 +237,36 @@
 
 bool service_answer::on_piece(answer_piece& piece)
 {
-    constexpr std::size_t largest_held = 64U << 10U;
-    this->held.append(piece.bytes);
-    if (!this->begun && this->held.size() < largest_held) {
+    constexpr std::size_t max_buffered = 64U << 10U;
+    this->buffered.append(piece.bytes);
+    if (!this->begun && this->buffered.size() < max_buffered) {
         return true;
     }
     if (!this->begun) {
         this->begun = true;
         std::string type;
-        const auto fields = this->passed_on_fields(type);
+        const auto fields = this->forwarded_fields(type);
         if (!begin_stream(this->connection(), this->head.status, type, fields)) {
             return false;
         }
     }
-    const auto text = std::exchange(this->held, {});
+    const auto text = std::exchange(this->buffered, {});
     return send_piece(this->connection(), text);
 }
 
 bool service_answer::on_complete(const answer_complete& /*ending*/)
 {
     if (this->begun) {
-        return send_piece(this->connection(), this->held) && end_stream(this->connection());
+        return send_piece(this->connection(), this->buffered) && end_stream(this->connection());
     }
     std::string type = "application/octet-stream";
-    const auto fields = this->passed_on_fields(type);
-    return send_answer(this->connection(), this->head.status, type, fields, this->held);
+    const auto fields = this->forwarded_fields(type);
+    return send_answer(this->connection(), this->head.status, type, fields, this->buffered);
 }
 
 // The head of the service's answer is out and the rest will not come: an unfinished chunked answer,
 // whose connection is closed, is what tells the caller that it is not whole.
-bool service_answer::on_failure_midway(const failure_form& /*form*/)
+bool service_answer::on_failure_midway(const error_response& /*form*/)
 {
     return false;
 }
--- a/router/src/answer_relay.hpp
+++ b/router/src/answer_relay.hpp
@@ -42,7 +42,7 @@
     // Each returns false when the caller is gone.
     virtual bool on_piece(answer_piece& piece) = 0;
     virtual bool on_complete(const answer_complete& ending) = 0;
-    virtual bool on_failure_midway(const failure_form& form) = 0;
+    virtual bool on_failure_midway(const error_response& response) = 0;
     virtual void on_restart() {}
     virtual void on_head(service_head& /*head*/) {}
 
@@ -75,7 +75,7 @@
 protected:
     bool on_piece(answer_piece& piece) override;
     bool on_complete(const answer_complete& ending) override;
-    bool on_failure_midway(const failure_form& form) override;
+    bool on_failure_midway(const error_response& response) override;
     bool keep_alive() override;
 
 private:
@@ -90,7 +90,7 @@
 protected:
     bool on_piece(answer_piece& piece) override;
     bool on_complete(const answer_complete& ending) override;
-    bool on_failure_midway(const failure_form& form) override;
+    bool on_failure_midway(const error_response& response) override;
     void on_restart() override;
 
 private:
@@ -106,16 +106,16 @@
 protected:
     bool on_piece(answer_piece& piece) override;
     bool on_complete(const answer_complete& ending) override;
-    bool on_failure_midway(const failure_form& form) override;
+    bool on_failure_midway(const error_response& response) override;
     void on_head(service_head& head) override;
     [[nodiscard]] std::string outcome() const override;
     void on_restart() override;
 
 private:
-    [[nodiscard]] header_list passed_on_fields(std::string& type) const;
+    [[nodiscard]] header_list forwarded_fields(std::string& type) const;
 
     service_head head;
-    std::string held; // a small body goes out with its head in one write
+    std::string buffered; // a small body goes out with its head in one write
 };
 
 } // namespace pearhaven::router
--- a/router/src/caller_request.cpp
+++ b/router/src/caller_request.cpp
@@ -18,13 +18,13 @@
 using nlohmann::json;
 
 constexpr std::string_view bearer = "Bearer ";
-constexpr std::size_t longest_field = 512;
+constexpr std::size_t max_field_length = 512;
 constexpr std::uint32_t lowest_priority = 9;
 constexpr std::size_t request_id_digits = 32;
 
 // Deepest nesting of a chat request: schemas of tools go some ten levels deep. Printing takes a few
 // hundred bytes of stack a level, of the 100 KB that a caller's thread has.
-constexpr std::size_t deepest_nesting = 64;
+constexpr std::size_t max_nesting = 64;
 
 std::string field(mg_connection* connection, const char* name)
 {
@@ -43,32 +43,34 @@
     return number;
 }
 
-failure_form bad_field(const char* name, const std::string& found, const char* allowed)
+error_response bad_field(const char* name, const std::string& found, const char* allowed)
 {
-    return turned_away(status_bad_request, "bad_field",
-                       std::string(name) + ": found \"" + found + "\", allowed " + allowed);
+    return make_rejection(status_bad_request, "bad_field",
+                          std::string(name) + ": found \"" + found + "\", allowed " + allowed);
 }
 
 bool is_printable(const std::string& text)
 {
-    return std::all_of(text.begin(), text.end(),
-                       [](unsigned char letter) { return letter > 0x20 && letter < 0x7f; });
+    return std::all_of(text.begin(), text.end(), [](unsigned char character) {
+        return character > 0x20 && character < 0x7f;
+    });
 }
 
-std::optional<failure_form> read_class(mg_connection* connection, caller_fields& fields)
+std::optional<error_response> read_class(mg_connection* connection, caller_fields& fields)
 {
-    const auto stated = field(connection, "Pearhaven-Class");
-    if (stated.empty()) {
+    const auto declared = field(connection, "Pearhaven-Class");
+    if (declared.empty()) {
         return std::nullopt;
     }
-    if (stated != "lookup" && stated != "reading") {
-        return bad_field("Pearhaven-Class", stated, "lookup or reading");
+    if (declared != "lookup" && declared != "reading") {
+        return bad_field("Pearhaven-Class", declared, "lookup or reading");
     }
-    fields.kind = stated == "lookup" ? decision::work_class::lookup : decision::work_class::reading;
+    fields.kind =
+        declared == "lookup" ? decision::work_class::lookup : decision::work_class::reading;
     return std::nullopt;
 }
 
-std::optional<failure_form> read_numbers(mg_connection* connection, caller_fields& fields)
+std::optional<error_response> read_numbers(mg_connection* connection, caller_fields& fields)
 {
     const auto priority = field(connection, "Pearhaven-Priority");
     if (!priority.empty()) {
@@ -89,21 +91,21 @@
     return std::nullopt;
 }
 
-std::optional<failure_form> read_idempotency(mg_connection* connection, caller_fields& fields)
+std::optional<error_response> read_idempotency(mg_connection* connection, caller_fields& fields)
 {
     fields.idempotency_key = field(connection, "Idempotency-Key");
-    if (fields.idempotency_key.size() > longest_field || !is_printable(fields.idempotency_key)) {
-        return bad_field("Idempotency-Key", fields.idempotency_key.substr(0, longest_field),
+    if (fields.idempotency_key.size() > max_field_length || !is_printable(fields.idempotency_key)) {
+        return bad_field("Idempotency-Key", fields.idempotency_key.substr(0, max_field_length),
                          "at most 512 printable characters without spaces");
     }
-    const auto stated = field(connection, "Pearhaven-Idempotent");
-    if (stated.empty()) {
+    const auto declared = field(connection, "Pearhaven-Idempotent");
+    if (declared.empty()) {
         return std::nullopt;
     }
-    if (stated != "true" && stated != "false") {
-        return bad_field("Pearhaven-Idempotent", stated, "true or false");
+    if (declared != "true" && declared != "false") {
+        return bad_field("Pearhaven-Idempotent", declared, "true or false");
     }
-    fields.idempotent = stated == "true";
+    fields.idempotent = declared == "true";
     return std::nullopt;
 }
 
@@ -128,27 +130,27 @@
     std::size_t depth = 0;
     bool in_string = false;
     for (std::size_t at = 0; at < text.size(); ++at) {
-        const char letter = text[at];
+        const char character = text[at];
         if (in_string) {
-            at += letter == '\\' ? 1 : 0; // what is escaped ends no string
-            in_string = letter != '"';
-        } else if (letter == '"') {
+            at += character == '\\' ? 1 : 0; // what is escaped ends no string
+            in_string = character != '"';
+        } else if (character == '"') {
             in_string = true;
-        } else if (letter == '[' || letter == '{') {
+        } else if (character == '[' || character == '{') {
             ++depth;
-        } else if ((letter == ']' || letter == '}') && depth > 0) {
+        } else if ((character == ']' || character == '}') && depth > 0) {
             --depth;
         }
-        if (depth > deepest_nesting) {
+        if (depth > max_nesting) {
             return true;
         }
     }
     return false;
 }
 
-failure_form bad_chat(const std::string& message)
+error_response bad_chat(const std::string& message)
 {
-    return turned_away(status_bad_request, "bad_request", message);
+    return make_rejection(status_bad_request, "bad_request", message);
 }
 
 std::optional<std::string> chat_fault(const json& chat)
@@ -183,7 +185,7 @@
 
 } // namespace
 
-std::variant<caller_fields, failure_form> read_fields(mg_connection* connection)
+std::variant<caller_fields, error_response> read_fields(mg_connection* connection)
 {
     caller_fields fields;
     const auto authorization = field(connection, "Authorization");
@@ -201,21 +203,21 @@
     return fields;
 }
 
-std::variant<std::string, failure_form> read_body(mg_connection* connection,
-                                                  std::uint32_t max_bytes)
+std::variant<std::string, error_response> read_body(mg_connection* connection,
+                                                    std::uint32_t max_bytes)
 {
     const auto too_large = [max_bytes] {
-        return turned_away(status_too_large, "body_too_large",
-                           "the body is larger than the allowed " + std::to_string(max_bytes) +
-                               " bytes");
+        return make_rejection(status_too_large, "body_too_large",
+                              "the body is larger than the allowed " + std::to_string(max_bytes) +
+                                  " bytes");
     };
-    const long long stated = mg_get_request_info(connection)->content_length;
-    if (stated > static_cast<long long>(max_bytes)) {
+    const long long declared = mg_get_request_info(connection)->content_length;
+    if (declared > static_cast<long long>(max_bytes)) {
         return too_large();
     }
     std::string body;
     std::array<char, 16384> buffer{};
-    while (stated < 0 || static_cast<long long>(body.size()) < stated) {
+    while (declared < 0 || static_cast<long long>(body.size()) < declared) {
         const int got = mg_read(connection, buffer.data(), buffer.size());
         if (got <= 0) {
             break;
@@ -225,19 +227,19 @@
             return too_large();
         }
     }
-    if (stated > 0 && static_cast<long long>(body.size()) < stated) {
-        return turned_away(status_timeout, "body_incomplete",
-                           "found " + std::to_string(body.size()) + " bytes of a body of " +
-                               std::to_string(stated));
+    if (declared > 0 && static_cast<long long>(body.size()) < declared) {
+        return make_rejection(status_timeout, "body_incomplete",
+                              "found " + std::to_string(body.size()) + " bytes of a body of " +
+                                  std::to_string(declared));
     }
     return body;
 }
 
-std::variant<chat_body, failure_form> read_chat(const std::string& body)
+std::variant<chat_body, error_response> read_chat(const std::string& body)
 {
     if (is_nested_too_deep(body)) {
-        return bad_chat("the body: found values nested more than " +
-                        std::to_string(deepest_nesting) + " deep");
+        return bad_chat("the body: found values nested more than " + std::to_string(max_nesting) +
+                        " deep");
     }
     auto chat = json::parse(body, nullptr, false);
     if (chat.is_discarded()) {
@@ -247,7 +249,7 @@
         return bad_chat(*fault);
     }
     chat_body read;
-    read.asked = chat["model"].get<std::string>();
+    read.requested_model = chat["model"].get<std::string>();
     read.streamed = chat.value("stream", false);
     read.max_tokens = chat.value("max_tokens", std::uint32_t{0});
     for (const auto& message : chat["messages"]) {
--- a/router/src/caller_request.hpp
+++ b/router/src/caller_request.hpp
@@ -29,22 +29,22 @@
 };
 
 // Reads the fields, or says what is wrong with one of them.
-std::variant<caller_fields, failure_form> read_fields(mg_connection* connection);
+std::variant<caller_fields, error_response> read_fields(mg_connection* connection);
 
 // Reads the body up to the limit. Malformed, oversized and unfinished ones give an answer instead.
-std::variant<std::string, failure_form> read_body(mg_connection* connection,
-                                                  std::uint32_t max_bytes);
+std::variant<std::string, error_response> read_body(mg_connection* connection,
+                                                    std::uint32_t max_bytes);
 
 // A chat request's JSON, taken apart as far as routing needs it.
 struct chat_body {
-    std::string asked;
+    std::string requested_model;
     bool streamed = false;
     std::uint32_t max_tokens = 0;
     std::string rest;   // the JSON object after its `model` field, always asking for a stream
     std::string prompt; // all messages' text, for estimates and affinity
 };
 
-std::variant<chat_body, failure_form> read_chat(const std::string& body);
+std::variant<chat_body, error_response> read_chat(const std::string& body);
 
 // Identifies the request over all its resends: derived from the idempotency key where there is one,
 // so that resends to other routers are billed as one; else drawn anew.
--- a/router/src/caller_server.cpp
+++ b/router/src/caller_server.cpp
@@ -19,20 +19,19 @@
 // Threads beyond the callers' bound, which turn further callers away at once.
 constexpr std::uint32_t spare_threads = 16;
 
-constexpr int closes_connection =
-    1; // any status above 0 tells CivetWeb that the request was handled
+constexpr int request_handled = 1; // any status above 0 tells CivetWeb that the request was handled
 constexpr std::size_t affinity_prefix =
     512; // bytes of the prompt's beginning that engines likely cache
 constexpr std::string_view services_prefix = "/services/";
 
 int on_malformed(mg_connection* connection, int status, const char* message)
 {
-    const auto form = turned_away(status, "bad_request", message == nullptr ? "" : message);
-    send_failure(connection, form, {{"Connection", "close"}});
+    const auto response = make_rejection(status, "bad_request", message == nullptr ? "" : message);
+    send_failure(connection, response, {{"Connection", "close"}});
     return 0;
 }
 
-decision::failure not_run_for_now(decision::failure_code code, std::string detail)
+decision::failure retryable_failure(decision::failure_code code, std::string detail)
 {
     return {code, decision::run_state::not_run, true, std::chrono::seconds(1), std::move(detail)};
 }
@@ -47,21 +46,22 @@
 // Counts a caller from its request to its answer's end.
 class caller_server::active_guard {
 public:
-    explicit active_guard(std::atomic<std::size_t>& counted) : count(counted), place(++counted) {}
+    explicit active_guard(std::atomic<std::size_t>& counted) : count(counted), ordinal(++counted) {}
     ~active_guard() { --this->count; }
     active_guard(const active_guard&) = delete;
     active_guard& operator=(const active_guard&) = delete;
 
-    [[nodiscard]] std::size_t position() const { return this->place; }
+    [[nodiscard]] std::size_t position() const { return this->ordinal; }
 
 private:
     std::atomic<std::size_t>& count;
-    std::size_t place;
+    std::size_t ordinal;
 };
 
-caller_server::caller_server(const caller_ports& all_ports) : ports(all_ports)
+caller_server::caller_server(const caller_server_dependencies& all_dependencies)
+    : dependencies(all_dependencies)
 {
-    const auto& settings = this->ports.settings;
+    const auto& settings = this->dependencies.settings;
     const auto listen = settings.host + ":" + std::to_string(settings.caller_port);
     const auto threads = std::to_string(settings.caller_threads + spare_threads);
     const auto timeout = std::to_string(settings.caller_read_timeout.count());
@@ -113,68 +113,70 @@
 int caller_server::handle_chat(mg_connection* connection, void* self)
 {
     static_cast<caller_server*>(self)->serve_chat(connection);
-    return closes_connection;
+    return request_handled;
 }
 
 int caller_server::handle_models(mg_connection* connection, void* self)
 {
     static_cast<caller_server*>(self)->serve_models(connection);
-    return closes_connection;
+    return request_handled;
 }
 
 int caller_server::handle_service(mg_connection* connection, void* self)
 {
     static_cast<caller_server*>(self)->serve_service(connection);
-    return closes_connection;
+    return request_handled;
 }
 
 int caller_server::handle_unknown(mg_connection* connection, void* self)
 {
     return static_cast<caller_server*>(self)->refuse(
         connection,
-        turned_away(status_not_found, "unknown_path",
-                    "allowed are /v1/chat/completions, /v1/models and /services/NAME/"));
+        make_rejection(status_not_found, "unknown_path",
+                       "allowed are /v1/chat/completions, /v1/models and /services/NAME/"));
 }
 
-int caller_server::refuse(mg_connection* connection, const failure_form& form)
+int caller_server::refuse(mg_connection* connection, const error_response& response)
 {
-    this->ports.counts.add("pearhaven_turned_away_total",
-                           {{"status", std::to_string(form.status)}});
+    this->dependencies.counts.add("pearhaven_turned_away_total",
+                                  {{"status", std::to_string(response.status)}});
     // Closing spares reading what is left of a body that is not wanted.
-    send_failure(connection, form, {{"Connection", "close"}});
+    send_failure(connection, response, {{"Connection", "close"}});
     mg_disable_connection_keep_alive(connection);
-    return form.status;
+    return response.status;
 }
 
 std::optional<caller_server::admitted> caller_server::admit(mg_connection* connection,
                                                             std::size_t position)
 {
-    if (position > this->ports.settings.caller_threads) {
-        this->refuse(connection, form_of(not_run_for_now(decision::failure_code::overloaded,
+    if (position > this->dependencies.settings.caller_threads) {
+        this->refuse(connection,
+                     to_error_response(retryable_failure(decision::failure_code::overloaded,
                                                          "this router has too many callers")));
         return std::nullopt;
     }
     auto fields = read_fields(connection);
-    if (const auto* fault = std::get_if<failure_form>(&fields)) {
+    if (const auto* fault = std::get_if<error_response>(&fields)) {
         this->refuse(connection, *fault);
         return std::nullopt;
     }
     admitted caller;
     caller.fields = std::get<caller_fields>(std::move(fields));
-    caller.configuration = this->ports.configuration.get();
+    caller.configuration = this->dependencies.configuration.get();
     if (!caller.configuration) {
-        this->refuse(connection, form_of(not_run_for_now(decision::failure_code::not_in_touch,
+        this->refuse(connection,
+                     to_error_response(retryable_failure(decision::failure_code::not_in_touch,
                                                          "no configuration has come yet")));
         return std::nullopt;
     }
     caller.team = caller.configuration->find_team_by_key(caller.fields.key_digest);
     if (caller.team == nullptr) {
-        this->refuse(connection, turned_away(status_unauthorized, "unknown_key",
-                                             "Authorization: found no key of a team"));
+        this->refuse(connection, make_rejection(status_unauthorized, "unknown_key",
+                                                "Authorization: found no key of a team"));
         return std::nullopt;
     }
-    auto body = read_body(connection, this->ports.settings.max_body_bytes);
-    if (const auto* fault = std::get_if<failure_form>(&body)) {
+    auto body = read_body(connection, this->dependencies.settings.max_body_bytes);
+    if (const auto* fault = std::get_if<error_response>(&body)) {
         this->refuse(connection, *fault);
         return std::nullopt;
     }
@@ -196,19 +198,20 @@
 
 decision::instant caller_server::deadline_of(const caller_fields& fields) const
 {
-    const auto& settings = this->ports.settings;
+    const auto& settings = this->dependencies.settings;
     return now() +
            std::min(fields.deadline.value_or(settings.default_deadline), settings.longest_deadline);
 }
 
-bool caller_server::hand_on(mg_connection* connection, decision::arrival arrival,
-                            const exchange_ptr& request)
+bool caller_server::dispatch(mg_connection* connection, decision::arrival arrival,
+                             const exchange_ptr& request)
 {
     routing_event event = request_arrived{std::move(arrival), request};
-    if (this->ports.routing.offer(event)) {
+    if (this->dependencies.routing.offer(event)) {
         return true;
     }
-    this->refuse(connection, form_of(not_run_for_now(decision::failure_code::overloaded,
+    this->refuse(connection,
+                 to_error_response(retryable_failure(decision::failure_code::overloaded,
                                                      "this router has too many events waiting")));
     return false;
 }
@@ -235,16 +238,16 @@
         return;
     }
     auto chat = read_chat(caller->body);
-    if (const auto* fault = std::get_if<failure_form>(&chat)) {
+    if (const auto* fault = std::get_if<error_response>(&chat)) {
         this->refuse(connection, *fault);
         return;
     }
     const auto& read = std::get<chat_body>(chat);
-    auto session = this->read_session(*caller, read.asked);
+    auto session = this->read_session(*caller, read.requested_model);
     if (!session) {
         this->refuse(connection,
-                     turned_away(status_bad_request, "bad_session",
-                                 "Pearhaven-Session: found a token that is not this team's"));
+                     make_rejection(status_bad_request, "bad_session",
+                                    "Pearhaven-Session: found a token that is not this team's"));
         return;
     }
     const auto request = this->make_exchange(*caller);
@@ -253,11 +256,11 @@
     request->body = read.rest;
 
     auto arrival = this->arrival_of(*caller, request);
-    arrival.asked = read.asked;
+    arrival.asked = read.requested_model;
     arrival.work =
         decision::estimate_work(read.prompt.size(), read.max_tokens, caller->fields.kind);
     arrival.prefix_hash = decision::fingerprint("", "", read.prompt.substr(0, affinity_prefix));
-    arrival.fingerprint = decision::fingerprint(request->team, read.asked, read.rest);
+    arrival.fingerprint = decision::fingerprint(request->team, read.requested_model, read.rest);
     if (!session->version.empty()) {
         arrival.bound = *session;
     }
@@ -271,10 +274,10 @@
         return headers;
     };
     if (read.streamed) {
-        streamed_chat relay(connection, request, this->ports.client);
+        streamed_chat relay(connection, request, this->dependencies.client);
         this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
     } else {
-        collected_chat relay(connection, request, this->ports.client);
+        collected_chat relay(connection, request, this->dependencies.client);
         this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
     }
 }
@@ -289,7 +292,7 @@
         return decision::session{adapters::random_identifier(), caller.team->name, asked, ""};
     }
     auto bound = decision::open_session(token, caller.configuration->session_keys(),
-                                        this->ports.session_keys);
+                                        this->dependencies.session_keys);
     if (!bound || bound->team != caller.team->name) {
         return std::nullopt;
     }
@@ -299,7 +302,7 @@
 std::string caller_server::seal(const admitted& caller, const decision::session& session) const
 {
     const auto newest = caller.configuration->session_keys().front();
-    return decision::seal_session(session, newest, this->ports.session_keys);
+    return decision::seal_session(session, newest, this->dependencies.session_keys);
 }
 
 // Claims the request if need be, hands it to the dispatcher, and writes its answer.
@@ -307,12 +310,12 @@
                           const exchange_ptr& request, decision::arrival arrival,
                           answer_relay& relay, const answer_relay::version_headers& headers_of)
 {
-    request_claim claim(this->ports.fleet, request);
-    if (!this->is_claimed(connection, claim, caller.fields, request->idempotent)) {
+    request_claim claim(this->dependencies.fleet, request);
+    if (!this->acquire_claim(connection, claim, caller.fields, request->idempotent)) {
         return;
     }
     const auto kind = class_name(arrival.work.kind);
-    if (!this->hand_on(connection, std::move(arrival), request)) {
+    if (!this->dispatch(connection, std::move(arrival), request)) {
         return;
     }
     const auto end = relay.run(headers_of);
@@ -321,15 +324,15 @@
 
 // A request without a key cannot be told from another one; the dispatcher alone sees to it that
 // this send of it runs at most once.
-bool caller_server::is_claimed(mg_connection* connection, request_claim& claim,
-                               const caller_fields& fields, bool idempotent)
+bool caller_server::acquire_claim(mg_connection* connection, request_claim& claim,
+                                  const caller_fields& fields, bool idempotent)
 {
     if (idempotent || fields.idempotency_key.empty()) {
         return true;
     }
-    const auto refused = claim.take(fields.idempotency_key);
+    const auto refused = claim.acquire(fields.idempotency_key);
     if (refused) {
-        this->refuse(connection, form_of(*refused));
+        this->refuse(connection, to_error_response(*refused));
     }
     return !refused;
 }
@@ -338,7 +341,7 @@
                            request_claim& claim, const relay_end& end, const std::string& kind)
 {
     if (end.caller_gone) {
-        this->ports.routing.submit(caller_gone{request->ticket});
+        this->dependencies.routing.submit(caller_gone{request->ticket});
         claim.settle(decision::run_state::unknown, end.outcome);
     } else {
         claim.settle(end.completed ? decision::run_state::ran : end.why.run, end.outcome);
@@ -350,13 +353,13 @@
                                : end.caller_gone ? "caller_gone"
                                                  : "failed";
     const adapters::metric_labels labels = {{"team", request->team}, {"class", kind}};
-    this->ports.counts.add("pearhaven_requests_total",
-                           {{"team", request->team}, {"class", kind}, {"result", result}});
-    const auto whole = std::chrono::steady_clock::now() - request->arrived_at;
-    this->ports.counts.observe("pearhaven_request_seconds", labels,
-                               std::chrono::duration_cast<std::chrono::microseconds>(whole));
+    this->dependencies.counts.add("pearhaven_requests_total",
+                                  {{"team", request->team}, {"class", kind}, {"result", result}});
+    const auto total = std::chrono::steady_clock::now() - request->arrived_at;
+    this->dependencies.counts.observe("pearhaven_request_seconds", labels,
+                                      std::chrono::duration_cast<std::chrono::microseconds>(total));
     if (end.first_piece.count() > 0) {
-        this->ports.counts.observe("pearhaven_first_token_seconds", labels, end.first_piece);
+        this->dependencies.counts.observe("pearhaven_first_token_seconds", labels, end.first_piece);
     }
 }
 
@@ -409,7 +412,7 @@
     const auto headers_of = [&](const std::string& /*target*/) {
         return header_list{{"Pearhaven-Request", request->request_id}};
     };
-    service_answer relay(connection, request, this->ports.client);
+    service_answer relay(connection, request, this->dependencies.client);
     this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
 }
 
--- a/router/src/caller_server.hpp
+++ b/router/src/caller_server.hpp
@@ -23,7 +23,7 @@
 namespace pearhaven::router {
 
 // What the callers' threads need of the rest of the router. All of it outlives the server.
-struct caller_ports {
+struct caller_server_dependencies {
     const router_settings& settings;
     const published<decision::configuration_ptr>& configuration;
     const decision::token_authenticator& session_keys;
@@ -37,7 +37,7 @@
 class caller_server {
 public:
     // Throws std::system_error when the port cannot be listened on.
-    explicit caller_server(const caller_ports& all_ports);
+    explicit caller_server(const caller_server_dependencies& all_dependencies);
     ~caller_server();
     caller_server(const caller_server&) = delete;
     caller_server& operator=(const caller_server&) = delete;
@@ -66,8 +66,8 @@
     static int handle_unknown(mg_connection* connection, void* self);
 
     [[nodiscard]] std::optional<admitted> admit(mg_connection* connection, std::size_t position);
-    bool is_claimed(mg_connection* connection, request_claim& claim, const caller_fields& fields,
-                    bool idempotent);
+    bool acquire_claim(mg_connection* connection, request_claim& claim, const caller_fields& fields,
+                       bool idempotent);
     [[nodiscard]] decision::arrival arrival_of(const admitted& from,
                                                const exchange_ptr& request) const;
     [[nodiscard]] std::optional<decision::session> read_session(const admitted& caller,
@@ -81,15 +81,16 @@
     void serve_service(mg_connection* connection);
     [[nodiscard]] exchange_ptr make_exchange(const admitted& from);
     [[nodiscard]] decision::instant deadline_of(const caller_fields& fields) const;
-    bool hand_on(mg_connection* connection, decision::arrival arrival, const exchange_ptr& request);
+    bool dispatch(mg_connection* connection, decision::arrival arrival,
+                  const exchange_ptr& request);
     void finish(mg_connection* connection, const exchange_ptr& request, request_claim& claim,
                 const relay_end& end, const std::string& kind);
     [[nodiscard]] static bool is_idempotent_call(const admitted& caller,
                                                  const std::string& service_name,
                                                  const std::string& method);
-    int refuse(mg_connection* connection, const failure_form& form);
+    int refuse(mg_connection* connection, const error_response& response);
 
-    caller_ports ports;
+    caller_server_dependencies dependencies;
     std::atomic<std::size_t> active{0};
     std::atomic<decision::ticket_number> next_ticket{1};
     mg_context* context = nullptr;
--- a/router/src/engine_attempt.cpp
+++ b/router/src/engine_attempt.cpp
@@ -31,7 +31,7 @@
     }
     const auto position = *read->index;
     if (read->closes) {
-        this->used_up = read->used;
+        this->token_usage = read->used;
         this->closing_event = event;
         return position == this->next_index;
     }
@@ -54,7 +54,7 @@
 bool engine_run::is_whole() const
 {
     return this->end_marked && !this->closing_event.empty() &&
-           this->used_up.completion_tokens == this->next_index;
+           this->token_usage.completion_tokens == this->next_index;
 }
 
 engine_attempt::engine_attempt(routing_sink& events, exchange_ptr to_caller, engine_run_ptr of_run,
@@ -110,7 +110,7 @@
         end.result = attempt_result::finished;
     } else if (this->not_run && !this->resumed) {
         end.result = attempt_result::refused;
-        end.endpoint_leaving = says_leaving(this->error_body);
+        end.endpoint_leaving = is_draining_error(this->error_body);
     } else if (result.error == http_error::connect_failed) {
         end.result = attempt_result::unreachable;
     } else if (result.error == http_error::first_byte_timeout ||
--- a/router/src/engine_attempt.hpp
+++ b/router/src/engine_attempt.hpp
@@ -32,7 +32,7 @@
     [[nodiscard]] const std::string& id() const { return this->run_id; }
     [[nodiscard]] const std::string& version() const { return this->version_name; }
     [[nodiscard]] std::uint64_t tokens() const { return this->next_index; }
-    [[nodiscard]] const usage& used() const { return this->used_up; }
+    [[nodiscard]] const usage& used() const { return this->token_usage; }
     [[nodiscard]] const std::string& last_event() const { return this->closing_event; }
     [[nodiscard]] decision::duration first_token() const { return this->first_token_after; }
 
@@ -40,7 +40,7 @@
     std::string run_id;
     std::string version_name;
     std::uint64_t next_index = 0;
-    usage used_up;
+    usage token_usage;
     std::string closing_event;
     bool end_marked = false;
     std::chrono::steady_clock::time_point started_at;
--- a/router/src/engine_event.cpp
+++ b/router/src/engine_event.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 // An older report says nothing of the load now; above it the age would not fit a duration.
-constexpr double oldest_load_ms = 3'600'000.0;
+constexpr double max_load_age_ms = 3'600'000.0;
 
 // The member of the name; null where there is none, or no object to have it.
 const json* member(const json& object, const char* name)
@@ -35,7 +35,7 @@
 }
 
 // Takes a number of zero or more, if there is one. False for anything else.
-bool take_amount(const json& object, const char* name, double& amount)
+bool read_amount(const json& object, const char* name, double& amount)
 {
     const auto* const value = member(object, name);
     if (value == nullptr) {
@@ -48,7 +48,7 @@
     return true;
 }
 
-void take_choice(const json& choice, engine_event& event)
+void read_choice(const json& choice, engine_event& event)
 {
     const auto* const reason = member(choice, "finish_reason");
     event.closes = reason != nullptr && reason->is_string();
@@ -71,7 +71,7 @@
     event.model = text_in(parsed, "model");
     const auto* const choices = member(parsed, "choices");
     if (choices != nullptr && choices->is_array() && !choices->empty()) {
-        take_choice(choices->front(), event);
+        read_choice(choices->front(), event);
     }
     if (const auto* const used = member(parsed, "usage")) {
         event.used = {count_in(*used, "prompt_tokens").value_or(0),
@@ -80,14 +80,15 @@
     return event;
 }
 
-bool says_leaving(const std::string& error_body)
+bool is_draining_error(const std::string& error_body)
 {
     const auto body = json::parse(error_body, nullptr, false);
     const auto* const error = member(body, "error");
     return error != nullptr && text_in(*error, "code") == "draining";
 }
 
-std::optional<decision::load_report> read_load(const std::string& body, std::uint64_t asked)
+std::optional<decision::load_report> read_load(const std::string& body,
+                                               std::uint64_t expected_incarnation)
 {
     const auto report = json::parse(body, nullptr, false);
     if (!report.is_object()) {
@@ -95,17 +96,17 @@
     }
     decision::load_report load;
     double age_ms = 0.0;
-    const bool whole = take_amount(report, "running", load.running) &&
-                       take_amount(report, "queued", load.queued) &&
-                       take_amount(report, "capacity", load.capacity) &&
-                       take_amount(report, "age_ms", age_ms) && age_ms <= oldest_load_ms;
+    const bool valid = read_amount(report, "running", load.running) &&
+                       read_amount(report, "queued", load.queued) &&
+                       read_amount(report, "capacity", load.capacity) &&
+                       read_amount(report, "age_ms", age_ms) && age_ms <= max_load_age_ms;
     const auto* const draining = member(report, "draining");
-    if (!whole || (draining != nullptr && !draining->is_boolean())) {
+    if (!valid || (draining != nullptr && !draining->is_boolean())) {
         return std::nullopt;
     }
     load.age = std::chrono::milliseconds(static_cast<std::int64_t>(age_ms));
     load.draining = draining != nullptr && draining->get<bool>();
-    load.incarnation = asked;
+    load.incarnation = expected_incarnation;
     if (const auto* const incarnation = member(report, "incarnation")) {
         if (!incarnation->is_number_unsigned()) {
             return std::nullopt;
--- a/router/src/engine_event.hpp
+++ b/router/src/engine_event.hpp
@@ -28,12 +28,12 @@
 [[nodiscard]] std::optional<engine_event> read_engine_event(const std::string& text);
 
 // Whether the body of an engine's error says that it takes no more work.
-[[nodiscard]] bool says_leaving(const std::string& error_body);
+[[nodiscard]] bool is_draining_error(const std::string& error_body);
 
 // An endpoint's report of its load. Nothing when a field is of another type or out of its range.
 // Where it does not name its incarnation, it is taken to be of the `asked` one.
 [[nodiscard]] std::optional<decision::load_report> read_load(const std::string& body,
-                                                             std::uint64_t asked);
+                                                             std::uint64_t expected_incarnation);
 
 } // namespace pearhaven::router
 
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -24,10 +24,10 @@
 constexpr int status_ok = 200;
 
 // Endpoints of which the last sign of life is kept.
-constexpr std::size_t most_heard = 4096;
+constexpr std::size_t max_tracked_endpoints = 4096;
 
 // Of a target that a caller chose, what goes into a log line.
-constexpr std::size_t longest_logged_target = 100;
+constexpr std::size_t max_logged_target = 100;
 
 adapters::outbound_target target_of(const decision::endpoint_host& endpoint)
 {
@@ -89,7 +89,7 @@
 
 // When a piece came from an endpoint, and from which of its lives: what the one before said shows
 // nothing of the one that has started since under its name.
-struct sign_of_life {
+struct endpoint_activity {
     std::uint64_t incarnation = 0;
     decision::instant at;
 };
@@ -99,11 +99,11 @@
 class event_relay::state
     : public boost::intrusive_ref_counter<state, boost::thread_unsafe_counter> {
 public:
-    state(adapters::event_loop& runs_on, adapters::http_outbound& client,
-          decision::dispatcher& decides, const caller_dialect& speaks,
-          adapters::metrics& counted_in, const event_relay_settings& chosen)
-        : loop(runs_on), endpoints(client), dispatcher(decides), dialect(speaks),
-          counts(counted_in), settings(chosen)
+    state(adapters::event_loop& event_loop, adapters::http_outbound& client,
+          decision::dispatcher& request_dispatcher, const caller_dialect& wire_dialect,
+          adapters::metrics& relay_metrics, const event_relay_settings& chosen)
+        : loop(event_loop), endpoints(client), dispatcher(request_dispatcher),
+          dialect(wire_dialect), counts(relay_metrics), settings(chosen)
     {}
 
     void admit(const adapters::inbound_exchange_ptr& caller);
@@ -143,21 +143,21 @@
     void carry_out(const decision::announce_leaving& /*action*/) {}
     void carry_out(const decision::announce_standing& /*action*/) {}
 
-    void bound_times(const relayed_request& relayed, adapters::outbound_request& sent) const;
+    void set_timeouts(const relayed_request& relayed, adapters::outbound_request& sent) const;
     void end_attempt(relayed_request& relayed, decision::attempt_end end);
     void cut_off(ticket_number ticket, relayed_request& relayed);
     void pass_events(ticket_number ticket, relayed_request& relayed, std::string_view piece);
     void begin_answer(relayed_request& relayed);
-    void hold(relayed_request& relayed, std::string_view piece);
+    void buffer(relayed_request& relayed, std::string_view piece);
     void keep_failed_answer(relayed_request& relayed) const;
-    void note_local_answer(const adapters::inbound_exchange& caller, const local_answer& answer);
-    void note_end(const relayed_request& relayed, const std::string& outcome, int status);
-    void note_heard(relayed_attempt& attempt);
-    static void note_attempt(relayed_request& relayed, const std::string& result);
+    void log_local_answer(const adapters::inbound_exchange& caller, const local_answer& answer);
+    void log_end(const relayed_request& relayed, const std::string& outcome, int status);
+    void record_activity(relayed_attempt& attempt);
+    static void record_attempt(relayed_request& relayed, const std::string& result);
     void forget(ticket_number ticket);
 
     ticket_number last_ticket = 0;
-    std::unordered_map<std::string, sign_of_life> last_heard; // by endpoint
+    std::unordered_map<std::string, endpoint_activity> last_activity; // by endpoint
     bool running = false;
 };
 
@@ -166,7 +166,7 @@
 // Hands one exchange's events to the relay. It may be called after the relay has ended.
 class attempt_listener final : public adapters::outbound_listener {
 public:
-    attempt_listener(boost::intrusive_ptr<event_relay::state> told, ticket_number ticket,
+    attempt_listener(boost::intrusive_ptr<event_relay::state> relay_state, ticket_number ticket,
                      decision::attempt_number attempt);
     head_verdict on_head(const adapters::http_response_head& head) override;
     void on_body(std::string_view piece) override;
@@ -193,7 +193,7 @@
 {
     auto understood = this->dialect.read(*caller, this->dispatcher.current().get());
     if (const auto* own = std::get_if<local_answer>(&understood)) {
-        this->note_local_answer(*caller, *own);
+        this->log_local_answer(*caller, *own);
         caller->answer(own->status, own->fields, own->body);
         return;
     }
@@ -243,17 +243,17 @@
         return;
     }
     relayed.attempt.endpoint = *endpoint;
-    relayed.attempt.choice = action.version;
+    relayed.attempt.target_label = action.version;
     attempt_terms terms;
     terms.endpoint = *endpoint;
     terms.time_left = relayed.request.work.deadline - this->loop.now();
     terms.last_event = relayed.last_event;
     if (action.size < relayed.request.models.size()) {
         terms.model = relayed.request.models[action.size];
-        relayed.attempt.choice += "/" + std::to_string(action.size);
+        relayed.attempt.target_label += "/" + std::to_string(action.size);
     }
     auto sent = this->dialect.write(*relayed.caller, relayed.request, terms);
-    this->bound_times(relayed, sent);
+    this->set_timeouts(relayed, sent);
     relayed.attempt.exchange = this->endpoints.start(
         target_of(*endpoint), std::move(sent),
         new attempt_listener(boost::intrusive_ptr<state>(this), action.ticket, action.attempt));
@@ -261,8 +261,8 @@
 
 // An endpoint that says nothing is given up only where another one may be asked: elsewhere a wait
 // can still bring the answer, and giving up cannot.
-void event_relay::state::bound_times(const relayed_request& relayed,
-                                     adapters::outbound_request& sent) const
+void event_relay::state::set_timeouts(const relayed_request& relayed,
+                                      adapters::outbound_request& sent) const
 {
     const auto& request = relayed.request;
     const auto left = request.work.deadline - this->loop.now();
@@ -270,8 +270,8 @@
                            relayed.attempt.number < std::max(request.work.max_attempts, 1U);
     sent.connect_time = std::min(this->settings.connect_time, left);
     // The dispatcher ends what is past its deadline; these are behind it.
-    sent.answer_time = left + this->settings.least_patience;
-    sent.progress_time = left + this->settings.least_patience;
+    sent.answer_time = left + this->settings.min_answer_timeout;
+    sent.progress_time = left + this->settings.min_answer_timeout;
     // A reused connection may have been closed at the other end a moment ago. What must not run
     // twice could then not be sent again, although it never arrived.
     sent.fresh_connection = !decision::may_run_again(request.kind);
@@ -279,15 +279,16 @@
         return;
     }
     const bool streamed = decision::is_streamed(request.kind);
-    const double part = streamed ? this->settings.stream_patience : this->settings.plain_patience;
-    const auto patience = this->dispatcher.patience_before_answer(request.work, part);
-    if (patience > duration::zero()) {
-        sent.answer_time = std::min(left, std::max(patience, this->settings.least_patience));
+    const double part =
+        streamed ? this->settings.stream_timeout_ratio : this->settings.plain_timeout_ratio;
+    const auto timeout = this->dispatcher.patience_before_answer(request.work, part);
+    if (timeout > duration::zero()) {
+        sent.answer_time = std::min(left, std::max(timeout, this->settings.min_answer_timeout));
     }
     if (streamed && request.longest_pause > duration::zero()) {
         const auto pause = std::chrono::duration_cast<duration>(request.longest_pause *
-                                                                this->settings.pause_patience);
-        sent.progress_time = std::min(left, std::max(pause, this->settings.least_patience));
+                                                                this->settings.pause_timeout_ratio);
+        sent.progress_time = std::min(left, std::max(pause, this->settings.min_answer_timeout));
     }
 }
 
@@ -306,7 +307,7 @@
 {
     if (auto* relayed = this->find(action.ticket, action.attempt)) {
         this->endpoints.cancel(relayed->attempt.exchange);
-        note_attempt(*relayed, "cancelled");
+        record_attempt(*relayed, "cancelled");
         relayed->attempt.number = 0;
     }
 }
@@ -319,14 +320,14 @@
     }
     auto& relayed = found->second;
     const auto status = relayed.attempt.head.status;
-    if (relayed.attempt.use == answer_use::passed) {
+    if (relayed.attempt.use == answer_use::forwarded) {
         this->begin_answer(relayed);
         relayed.caller->end();
     } else {
         relayed.caller->answer(status, this->dialect.pass_on(relayed.attempt.head),
-                               relayed.attempt.held);
+                               relayed.attempt.buffered);
     }
-    this->note_end(relayed, "answered", status);
+    this->log_end(relayed, "answered", status);
     this->forget(action.ticket);
 }
 
@@ -339,15 +340,15 @@
     auto& relayed = found->second;
     if (relayed.began) {
         relayed.caller->abort();
-        this->note_end(relayed, "broken: " + action.why.detail, status_ok);
+        this->log_end(relayed, "broken: " + action.why.detail, status_ok);
     } else if (relayed.failed_answer) {
         const auto& own = *relayed.failed_answer;
         relayed.caller->answer(own.status, own.fields, own.body);
-        this->note_end(relayed, "endpoint's failure: " + action.why.detail, own.status);
+        this->log_end(relayed, "endpoint's failure: " + action.why.detail, own.status);
     } else {
         const auto answer = this->dialect.refuse(relayed.request, action.why);
         relayed.caller->answer(answer.status, answer.fields, answer.body);
-        this->note_end(relayed, "given up: " + action.why.detail, answer.status);
+        this->log_end(relayed, "given up: " + action.why.detail, answer.status);
     }
     this->forget(action.ticket);
 }
@@ -367,23 +368,23 @@
     current.head = head;
     current.first_token = this->loop.now() - current.started;
     if (is_refusal(current.facts.meaning)) {
-        current.use = answer_use::unread;
+        current.use = answer_use::discarded;
         return head_verdict::take;
     }
     const bool success = current.facts.meaning == answer_meaning::success;
     if (success && !relayed->began) {
-        const bool takes = this->dispatcher.accepts_answer(
+        const bool accepted = this->dispatcher.accepts_answer(
             ticket, attempt, current.facts.confidence, this->loop.now());
-        if (!takes) {
-            note_attempt(*relayed,
-                         "poor" + std::to_string(static_cast<int>(current.facts.confidence)));
+        if (!accepted) {
+            record_attempt(*relayed,
+                           "poor" + std::to_string(static_cast<int>(current.facts.confidence)));
             current.number = 0;
             this->run_actions();
             return head_verdict::drop;
         }
     }
-    const bool passes = success && decision::is_streamed(relayed->request.kind);
-    current.use = passes ? answer_use::passed : answer_use::held;
+    const bool forwards = success && decision::is_streamed(relayed->request.kind);
+    current.use = forwards ? answer_use::forwarded : answer_use::buffered;
     return head_verdict::take;
 }
 
@@ -394,33 +395,33 @@
     if (relayed == nullptr) {
         return;
     }
-    this->note_heard(relayed->attempt);
-    if (relayed->attempt.use == answer_use::passed) {
+    this->record_activity(relayed->attempt);
+    if (relayed->attempt.use == answer_use::forwarded) {
         if (decision::is_streamed(relayed->request.kind)) {
             this->pass_events(ticket, *relayed, piece);
         } else {
             relayed->caller->write(piece);
         }
-    } else if (relayed->attempt.use == answer_use::held) {
-        this->hold(*relayed, piece);
+    } else if (relayed->attempt.use == answer_use::buffered) {
+        this->buffer(*relayed, piece);
     }
     const auto found = this->requests.find(ticket);
     if (found != this->requests.end() &&
-        found->second.caller->unsent() > this->settings.most_unsent) {
+        found->second.caller->unsent() > this->settings.max_unsent) {
         this->endpoints.pause(found->second.attempt.exchange, true);
     }
 }
 
-void event_relay::state::hold(relayed_request& relayed, std::string_view piece)
+void event_relay::state::buffer(relayed_request& relayed, std::string_view piece)
 {
     auto& current = relayed.attempt;
-    current.held.append(piece);
+    current.buffered.append(piece);
     const bool success = current.facts.meaning == answer_meaning::success;
-    if (success && current.held.size() > this->settings.most_held) {
-        current.use = answer_use::passed;
+    if (success && current.buffered.size() > this->settings.max_buffered) {
+        current.use = answer_use::forwarded;
         this->begin_answer(relayed);
-        relayed.caller->write(current.held);
-        current.held.clear();
+        relayed.caller->write(current.buffered);
+        current.buffered.clear();
     }
 }
 
@@ -443,11 +444,11 @@
     auto& current = relayed.attempt;
     for (const auto& event : current.events.feed(piece)) {
         const auto expected = relayed.last_event + 1;
-        if (current.spoiled || (event.id && *event.id < expected)) {
+        if (current.invalid || (event.id && *event.id < expected)) {
             continue;
         }
         if (event.id && *event.id > expected && relayed.last_event > 0) {
-            current.spoiled = true;
+            current.invalid = true;
             continue;
         }
         this->begin_answer(relayed);
@@ -461,8 +462,8 @@
             this->dispatcher.on_pace(ticket, current.number, *pace);
         }
     }
-    current.spoiled = current.spoiled || current.events.part_size() > this->settings.most_event;
-    if (current.spoiled) {
+    current.invalid = current.invalid || current.events.part_size() > this->settings.max_event_size;
+    if (current.invalid) {
         adapters::log_warning("stream_gap", {{"id", relayed.request.id},
                                              {"endpoint", current.endpoint.address},
                                              {"after", std::to_string(relayed.last_event)},
@@ -476,7 +477,7 @@
 {
     const auto& current = relayed.attempt;
     relayed.failed_answer =
-        local_answer{current.head.status, this->dialect.pass_on(current.head), current.held};
+        local_answer{current.head.status, this->dialect.pass_on(current.head), current.buffered};
 }
 
 void event_relay::state::on_end(ticket_number ticket, decision::attempt_number attempt)
@@ -521,11 +522,12 @@
         return false;
     }
     ++relayed->attempt.silences;
-    const auto heard = this->last_heard.find(relayed->attempt.endpoint.address);
-    const bool lives = heard != this->last_heard.end() &&
-                       heard->second.incarnation == relayed->attempt.endpoint.incarnation &&
-                       this->loop.heard_until() - heard->second.at < this->settings.sign_of_life;
-    return !lives || relayed->attempt.silences >= this->settings.most_silences;
+    const auto activity = this->last_activity.find(relayed->attempt.endpoint.address);
+    const bool is_alive =
+        activity != this->last_activity.end() &&
+        activity->second.incarnation == relayed->attempt.endpoint.incarnation &&
+        this->loop.heard_until() - activity->second.at < this->settings.liveness_window;
+    return !is_alive || relayed->attempt.silences >= this->settings.max_silences;
 }
 
 void event_relay::state::on_break(ticket_number ticket, decision::attempt_number attempt,
@@ -552,8 +554,8 @@
 {
     this->dispatcher.on_caller_gone(ticket, this->loop.now());
     relayed.caller->abort();
-    this->note_end(relayed, "broken: the endpoint was lost in the middle of the answer",
-                   relayed.attempt.head.status);
+    this->log_end(relayed, "broken: the endpoint was lost in the middle of the answer",
+                  relayed.attempt.head.status);
     this->forget(ticket);
     this->run_actions();
 }
@@ -565,7 +567,7 @@
     if (const auto pace = current.pace.at_end()) {
         this->dispatcher.on_pace(end.ticket, end.attempt, *pace);
     }
-    note_attempt(relayed, name_of(end.result));
+    record_attempt(relayed, name_of(end.result));
     if (end.result != attempt_result::finished) {
         this->counts.add("pearhaven_attempts_lost", {{"result", name_of(end.result)}});
         adapters::log_change("attempt_lost",
@@ -589,39 +591,40 @@
 
 // Endpoints come and go for as long as the process runs; what is dropped here is known again with
 // the next piece.
-void event_relay::state::note_heard(relayed_attempt& attempt)
+void event_relay::state::record_activity(relayed_attempt& attempt)
 {
-    if (this->last_heard.size() >= most_heard) {
-        this->last_heard.clear();
+    if (this->last_activity.size() >= max_tracked_endpoints) {
+        this->last_activity.clear();
     }
-    this->last_heard[attempt.endpoint.address] = {attempt.endpoint.incarnation, this->loop.now()};
+    this->last_activity[attempt.endpoint.address] = {attempt.endpoint.incarnation,
+                                                     this->loop.now()};
     attempt.silences = 0;
 }
 
-void event_relay::state::note_attempt(relayed_request& relayed, const std::string& result)
+void event_relay::state::record_attempt(relayed_request& relayed, const std::string& result)
 {
     const auto& current = relayed.attempt;
     relayed.history.append(relayed.history.empty() ? "" : " ");
-    relayed.history.append(current.endpoint.address).append("(").append(current.choice);
+    relayed.history.append(current.endpoint.address).append("(").append(current.target_label);
     relayed.history.append("):").append(result);
 }
 
-void event_relay::state::note_local_answer(const adapters::inbound_exchange& caller,
-                                           const local_answer& answer)
+void event_relay::state::log_local_answer(const adapters::inbound_exchange& caller,
+                                          const local_answer& answer)
 {
     const auto revision = this->dispatcher.current() ? this->dispatcher.current()->revision() : 0;
     this->counts.add("pearhaven_requests_answered_here",
                      {{"status", std::to_string(answer.status)}});
     adapters::log_change("request_refused",
                          {{"id", this->dialect.name_of(caller)},
-                          {"target", caller.head().target.substr(0, longest_logged_target)},
+                          {"target", caller.head().target.substr(0, max_logged_target)},
                           {"status", std::to_string(answer.status)},
                           {"config", std::to_string(revision)},
                           {"why", answer.body.substr(0, answer.body.find('\n'))}});
 }
 
-void event_relay::state::note_end(const relayed_request& relayed, const std::string& outcome,
-                                  int status)
+void event_relay::state::log_end(const relayed_request& relayed, const std::string& outcome,
+                                 int status)
 {
     const auto arrived = relayed.caller->arrived();
     const auto waited = this->loop.now() - arrived;
@@ -666,7 +669,7 @@
     const auto relayed = this->requests.find(ticket);
     if (relayed != this->requests.end()) {
         this->endpoints.cancel(relayed->second.attempt.exchange);
-        this->note_end(relayed->second, "caller left", 0);
+        this->log_end(relayed->second, "caller left", 0);
     }
     this->forget(ticket);
 }
@@ -681,9 +684,9 @@
 
 namespace {
 
-attempt_listener::attempt_listener(boost::intrusive_ptr<event_relay::state> told, ticket_number of,
-                                   decision::attempt_number number)
-    : relay(std::move(told)), ticket(of), attempt(number)
+attempt_listener::attempt_listener(boost::intrusive_ptr<event_relay::state> relay_state,
+                                   ticket_number of, decision::attempt_number number)
+    : relay(std::move(relay_state)), ticket(of), attempt(number)
 {}
 
 head_verdict attempt_listener::on_head(const adapters::http_response_head& head)
--- a/router/src/exchange.hpp
+++ b/router/src/exchange.hpp
@@ -99,7 +99,7 @@
     }
 
     // Set by the caller's thread when it no longer waits for its claim.
-    std::atomic<bool> claim_dropped{false};
+    std::atomic<bool> claim_abandoned{false};
 
     // Set by the HTTP client's thread when an answer has to wait for the caller.
     std::atomic<bool> paused{false};
--- a/router/src/fleet_event.hpp
+++ b/router/src/fleet_event.hpp
@@ -28,7 +28,7 @@
     coordination::kv_reply reply;
 };
 
-struct peer_spoke {
+struct peer_message_received {
     std::string from;
     adapters::peer_address reply_to;
     coordination::peer_message message;
@@ -42,7 +42,7 @@
 };
 
 // A request that must run at most once asks for its claim.
-struct claim_wanted {
+struct claim_requested {
     std::string team;
     std::string key;
     exchange_ptr caller;
@@ -55,7 +55,7 @@
     std::string outcome; // as a resend is to be told
 };
 
-struct fact_found {
+struct fact_observed {
     coordination::fact what;
 };
 
@@ -64,8 +64,8 @@
     bool is_over = false;
 };
 
-using fleet_event = std::variant<store_replied, peer_spoke, bill_due, claim_wanted, claim_settled,
-                                 fact_found, leave_begun>;
+using fleet_event = std::variant<store_replied, peer_message_received, bill_due, claim_requested,
+                                 claim_settled, fact_observed, leave_begun>;
 
 // Port through which the other duties reach the fleet thread. Safe from any thread.
 class fleet_sink {
--- a/router/src/fleet_worker.cpp
+++ b/router/src/fleet_worker.cpp
@@ -27,41 +27,41 @@
 constexpr decision::duration freshness_bound = std::chrono::seconds(3);
 
 // In an outage that all live peers agree on, each word of that holds for so long.
-constexpr decision::duration outage_word = std::chrono::milliseconds(500);
+constexpr decision::duration outage_agreement_lifetime = std::chrono::milliseconds(500);
 
 // Smaller steps forward are not worth an event.
-constexpr decision::duration touch_step = std::chrono::milliseconds(100);
+constexpr decision::duration min_validity_step = std::chrono::milliseconds(100);
 
-coordination::config_replica_settings replica_settings_of(const fleet_duty::ports& all)
+coordination::config_replica_settings replica_settings_of(const fleet_worker::dependencies& deps)
 {
     coordination::config_replica_settings chosen;
-    chosen.self = all.incarnation;
-    chosen.zone = all.settings.zone;
-    chosen.seed = all.seed;
+    chosen.self = deps.incarnation;
+    chosen.zone = deps.settings.zone;
+    chosen.seed = deps.seed;
     chosen.freshness_bound = freshness_bound;
     return chosen;
 }
 
-coordination::bill_ledger_settings ledger_settings_of(const fleet_duty::ports& all)
+coordination::bill_ledger_settings ledger_settings_of(const fleet_worker::dependencies& deps)
 {
     coordination::bill_ledger_settings chosen;
-    chosen.self = all.incarnation;
-    chosen.zone = all.settings.zone;
+    chosen.self = deps.incarnation;
+    chosen.zone = deps.settings.zone;
     return chosen;
 }
 
-coordination::once_claims_settings claims_settings_of(const fleet_duty::ports& all)
+coordination::once_claims_settings claims_settings_of(const fleet_worker::dependencies& deps)
 {
     coordination::once_claims_settings chosen;
-    chosen.self = all.incarnation;
+    chosen.self = deps.incarnation;
     return chosen;
 }
 
-coordination::fact_table_settings facts_settings_of(const fleet_duty::ports& all)
+coordination::fact_table_settings facts_settings_of(const fleet_worker::dependencies& deps)
 {
     coordination::fact_table_settings chosen;
-    chosen.self = all.incarnation;
-    chosen.seed = all.seed;
+    chosen.self = deps.incarnation;
+    chosen.seed = deps.seed;
     return chosen;
 }
 
@@ -74,10 +74,10 @@
 }
 
 // Nothing is quarantined by a subject that is no number: such a fact comes from no router of ours.
-std::uint64_t fingerprint_of(const coordination::fact& news)
+std::uint64_t fingerprint_of(const coordination::fact& fact)
 {
     std::uint64_t number = 0;
-    std::from_chars(news.subject.data(), news.subject.data() + news.subject.size(), number);
+    std::from_chars(fact.subject.data(), fact.subject.data() + fact.subject.size(), number);
     return number;
 }
 
@@ -106,7 +106,7 @@
             "the key-value service cannot be reached to claim this request"};
 }
 
-coordination::member_address to_member(const peer_spoke& event)
+coordination::member_address to_member(const peer_message_received& event)
 {
     return {event.from, event.reply_to.host, event.reply_to.port};
 }
@@ -147,24 +147,24 @@
     return "unknown";
 }
 
-fleet_duty::fleet_duty(const ports& all_ports)
-    : all(all_ports), ring(ring_capacity), head_codec(adapters::make_config_head_codec()),
+fleet_worker::fleet_worker(const dependencies& all_dependencies)
+    : deps(all_dependencies), ring(ring_capacity), head_codec(adapters::make_config_head_codec()),
       bill_codec(adapters::make_bill_page_codec()), claim_codec(adapters::make_claim_codec()),
       member_codec(adapters::make_member_codec()), duty_codec(adapters::make_duty_codec()),
-      replica(replica_settings_of(this->all), *this->head_codec, now()),
-      ledger(ledger_settings_of(this->all), *this->bill_codec),
-      claims(claims_settings_of(this->all), *this->claim_codec),
-      facts(facts_settings_of(this->all)),
-      rollouts(this->all.incarnation, this->all.seed, *this->duty_codec, *this->head_codec, now())
+      replica(replica_settings_of(this->deps), *this->head_codec, now()),
+      ledger(ledger_settings_of(this->deps), *this->bill_codec),
+      claims(claims_settings_of(this->deps), *this->claim_codec),
+      facts(facts_settings_of(this->deps)),
+      rollouts(this->deps.incarnation, this->deps.seed, *this->duty_codec, *this->head_codec, now())
 {}
 
-fleet_duty::~fleet_duty()
+fleet_worker::~fleet_worker()
 {
     this->stop();
 }
 
-void fleet_duty::start(routing_sink& routing_events, adapters::peer_link& peer_link,
-                       std::uint16_t operator_port)
+void fleet_worker::start(routing_sink& routing_events, adapters::peer_link& peer_link,
+                         std::uint16_t operator_port)
 {
     this->routing = &routing_events;
     this->link = &peer_link;
@@ -172,7 +172,7 @@
     this->thread = std::thread([this] { this->run(); });
 }
 
-void fleet_duty::stop()
+void fleet_worker::stop()
 {
     this->ring.close();
     if (this->thread.joinable()) {
@@ -180,22 +180,22 @@
     }
 }
 
-bool fleet_duty::submit(fleet_event event)
+bool fleet_worker::submit(fleet_event event)
 {
     return this->ring.push(std::move(event));
 }
 
-void fleet_duty::join_fleet()
+void fleet_worker::join_fleet()
 {
     coordination::membership_settings chosen;
-    chosen.self.id = this->all.incarnation;
-    chosen.self.host = this->all.settings.host;
+    chosen.self.id = this->deps.incarnation;
+    chosen.self.host = this->deps.settings.host;
     chosen.self.peer_port = this->link->port();
     chosen.self.operator_port = this->own_operator_port;
-    chosen.self.zone = this->all.settings.zone;
-    chosen.seed = this->all.seed;
-    chosen.registration.time_to_live = this->all.settings.member_lease;
-    for (const auto& peer : this->all.settings.peers) {
+    chosen.self.zone = this->deps.settings.zone;
+    chosen.seed = this->deps.seed;
+    chosen.registration.time_to_live = this->deps.settings.member_lease;
+    for (const auto& peer : this->deps.settings.peers) {
         chosen.seeds.push_back(to_seed(peer));
     }
     this->fleet.emplace(std::move(chosen), *this->member_codec, now());
@@ -203,7 +203,7 @@
 
 // The parts that act on who is there are told again and again: it is cheap, and nothing can be
 // missed.
-void fleet_duty::tell_members()
+void fleet_worker::update_members()
 {
     const auto moment = now();
     const auto live = this->fleet->live();
@@ -223,17 +223,17 @@
     this->claims.set_live(std::move(ids));
     this->facts.set_peers(addresses, moment);
     const auto below = [this](const coordination::member& one) {
-        return one.id < this->all.incarnation;
+        return one.id < this->deps.incarnation;
     };
     const auto rank = static_cast<std::size_t>(std::count_if(live.begin(), live.end(), below));
     const fleet_changed place{rank, live.size() + 1};
-    if (place != this->told_place) {
-        this->told_place = place;
+    if (place != this->reported_position) {
+        this->reported_position = place;
         this->routing->submit(place);
     }
 }
 
-void fleet_duty::run()
+void fleet_worker::run()
 {
     this->join_fleet();
     while (!this->ring.is_closed_and_empty()) {
@@ -249,32 +249,32 @@
     }
 }
 
-void fleet_duty::tick()
+void fleet_worker::tick()
 {
     const auto moment = now();
     this->fleet->on_tick(moment);
     if (moment >= this->next_members) {
         this->next_members = moment + members_period;
-        this->tell_members();
+        this->update_members();
     }
     this->replica.on_tick(moment);
     this->claims.on_tick(moment);
     this->facts.on_tick(moment);
     this->ledger.on_tick(moment);
-    this->keep_rollouts();
-    this->tell_touch();
+    this->update_rollouts();
+    this->report_config_validity();
     this->publish_view();
 }
 
-void fleet_duty::keep_rollouts()
+void fleet_worker::update_rollouts()
 {
-    const auto current = this->all.configuration.get();
+    const auto current = this->deps.configuration.get();
     const auto stored = this->replica.current();
-    rollout_scene scene;
+    rollout_context scene;
     scene.current = current.get();
     scene.stored = stored.get();
     scene.facts = &this->facts;
-    scene.live.insert(this->all.incarnation);
+    scene.live.insert(this->deps.incarnation);
     if (this->rollouts.holds_duty()) { // the list is long to copy so often, and only then looked at
         for (const auto& one : this->fleet->live()) {
             scene.live.insert(one.id);
@@ -283,12 +283,12 @@
     this->rollouts.on_tick(scene, now());
 }
 
-void fleet_duty::handle(store_replied& event)
+void fleet_worker::handle(store_replied& event)
 {
     switch (event.part) {
     case fleet_part::configuration:
         this->replica.on_reply(event.tag, event.reply, now());
-        this->tell_touch();
+        this->report_config_validity();
         break;
     case fleet_part::bills:
         this->ledger.on_reply(event.tag, event.reply, now());
@@ -307,7 +307,7 @@
     }
 }
 
-void fleet_duty::handle(peer_spoke& event)
+void fleet_worker::handle(peer_message_received& event)
 {
     const auto from = to_member(event);
     this->fleet->on_message(from, event.message, now());
@@ -316,21 +316,21 @@
     this->ledger.on_message(from, event.message, now());
 }
 
-void fleet_duty::handle(bill_due& event)
+void fleet_worker::handle(bill_due& event)
 {
     auto request = event.what.request;
     this->unbilled.emplace(request, std::move(event));
     this->ledger.on_bill(this->unbilled.find(request)->second.what, now());
 }
 
-void fleet_duty::handle(claim_wanted& event)
+void fleet_worker::handle(claim_requested& event)
 {
     const auto number =
         this->claims.claim(event.team, event.key, adapters::random_identifier(), now());
     this->claimants.emplace(number, std::move(event.caller));
 }
 
-void fleet_duty::handle(claim_settled& event)
+void fleet_worker::handle(claim_settled& event)
 {
     auto end = coordination::claim_state::unknown;
     if (event.run == decision::run_state::ran) {
@@ -341,32 +341,34 @@
     this->claims.settle(event.claim, end, event.outcome, now());
 }
 
-void fleet_duty::handle(fact_found& event)
+void fleet_worker::handle(fact_observed& event)
 {
-    const auto& news = event.what;
-    this->facts.publish(news.kind, news.subject, news.value, news.time_to_live, now());
+    const auto& fact = event.what;
+    this->facts.publish(fact.kind, fact.subject, fact.value, fact.time_to_live, now());
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::fact_learned& action)
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::fact_learned& action)
 {
     using coordination::fact_kind;
     using standing = decision::suspect_table::standing;
-    const auto& news = action.learned;
-    if (news.author == this->all.incarnation) {
+    const auto& fact = action.learned;
+    if (fact.author == this->deps.incarnation) {
         return;
     }
-    switch (news.kind) {
+    switch (fact.kind) {
     case fact_kind::endpoint_leaving:
-        this->routing->submit(leaving_told{news.subject, static_cast<std::uint64_t>(news.value)});
+        this->routing->submit(
+            endpoint_leaving_reported{fact.subject, static_cast<std::uint64_t>(fact.value)});
         break;
     case fact_kind::request_quarantined:
-        this->routing->submit(standing_told{fingerprint_of(news), standing::quarantined});
+        this->routing->submit(suspect_status_reported{fingerprint_of(fact), standing::quarantined});
         break;
     case fact_kind::request_suspect:
-        this->routing->submit(standing_told{fingerprint_of(news), standing::suspect});
+        this->routing->submit(suspect_status_reported{fingerprint_of(fact), standing::suspect});
         break;
     case fact_kind::version_tripped:
-        this->routing->submit(trip_told{news.subject, static_cast<std::uint64_t>(news.value)});
+        this->routing->submit(
+            version_trip_reported{fact.subject, static_cast<std::uint64_t>(fact.value)});
         break;
     case fact_kind::exposure_spent:
         break;
@@ -374,9 +376,9 @@
 }
 
 // What was learnt has its own time in the parts that act on it.
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::fact_forgotten& /*action*/) {}
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::fact_forgotten& /*action*/) {}
 
-void fleet_duty::handle(leave_begun& event)
+void fleet_worker::handle(leave_begun& event)
 {
     if (!event.is_over) {
         this->fleet->leave(now());
@@ -389,7 +391,7 @@
     this->publish_view();
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::claim_decided& action)
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::claim_decided& action)
 {
     const auto found = this->claimants.find(action.claim);
     const auto caller = found->second;
@@ -402,12 +404,12 @@
     }
     caller->push(answer);
     // A caller that has stopped waiting dispatches nothing; its claim must not block the next send.
-    if (answer.granted && caller->claim_dropped.load()) {
+    if (answer.granted && caller->claim_abandoned.load()) {
         this->claims.settle(action.claim, coordination::claim_state::not_run, "", now());
     }
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::member_changed& action)
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::member_changed& action)
 {
     const auto& changed = action.changed;
     adapters::log_change("member_changed",
@@ -415,10 +417,10 @@
     if (changed.state == member_state::dead) {
         this->ledger.on_member_dead(changed.id, now());
     }
-    this->tell_members();
+    this->update_members();
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::bill_safe& action)
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::bill_safe& action)
 {
     // Several callers may wait for one bill: resends of one request that all ran to their end.
     const auto [first, last] = this->unbilled.equal_range(action.request);
@@ -428,27 +430,27 @@
     this->unbilled.erase(first, last);
 }
 
-void fleet_duty::carry_out(fleet_part part, const coordination::store_call& action)
+void fleet_worker::carry_out(fleet_part part, const coordination::store_call& action)
 {
-    this->all.counts.add("pearhaven_store_calls_total", {{"part", part_name(part)}});
-    this->all.store.submit(action.request,
-                           [this, part, tag = action.tag](const coordination::kv_reply& reply) {
-                               this->submit(store_replied{part, tag, reply});
-                           });
+    this->deps.counts.add("pearhaven_store_calls_total", {{"part", part_name(part)}});
+    this->deps.store.submit(action.request,
+                            [this, part, tag = action.tag](const coordination::kv_reply& reply) {
+                                this->submit(store_replied{part, tag, reply});
+                            });
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::send_message& action)
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::send_message& action)
 {
     this->link->send({action.to.host, action.to.port}, action.message);
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::unreadable_value& action)
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::unreadable_value& action)
 {
-    this->all.counts.add("pearhaven_unreadable_values_total", {});
+    this->deps.counts.add("pearhaven_unreadable_values_total", {});
     adapters::log_warning("stored_value_unreadable", {{"key", action.key}});
 }
 
-void fleet_duty::carry_out(fleet_part /*part*/, const coordination::config_in_force& action)
+void fleet_worker::carry_out(fleet_part /*part*/, const coordination::config_in_force& action)
 {
     auto built = adapters::build_configuration(action.state->revision(), action.state->objects());
     for (const auto& fault : built.faults) {
@@ -459,21 +461,21 @@
     // what it was told. Told later, it turned a caller away whose team or key was new to it alone.
     // In this order each request comes behind the configuration that it was taken by.
     this->routing->submit(configuration_changed{built.configuration});
-    this->all.configuration.set(std::move(built.configuration));
+    this->deps.configuration.set(std::move(built.configuration));
     this->fleet->set_config_revision(action.state->revision());
     adapters::log_change("configuration_in_force",
                          {{"revision", std::to_string(action.state->revision())}});
 }
 
 template <class Part>
-void fleet_duty::carry_out_part(fleet_part part, Part& source)
+void fleet_worker::carry_out_part(fleet_part part, Part& source)
 {
     for (const auto& action : source.take_actions()) {
         std::visit([this, part](const auto& what) { this->carry_out(part, what); }, action);
     }
 }
 
-void fleet_duty::carry_out_all()
+void fleet_worker::carry_out_all()
 {
     this->carry_out_part(fleet_part::configuration, this->replica);
     this->carry_out_part(fleet_part::bills, this->ledger);
@@ -483,28 +485,29 @@
     this->carry_out_part(fleet_part::rollouts, this->rollouts);
 }
 
-decision::instant fleet_duty::in_touch_until(decision::instant moment) const
+decision::instant fleet_worker::config_valid_until(decision::instant moment) const
 {
     if (!this->replica.is_ready() || !this->replica.may_take_new_work(moment)) {
         return moment;
     }
     const auto age = this->replica.confirmed_age(moment);
     const bool is_confirmed = age && *age < freshness_bound;
-    return moment + (is_confirmed ? freshness_bound - *age : outage_word);
+    return moment + (is_confirmed ? freshness_bound - *age : outage_agreement_lifetime);
 }
 
-void fleet_duty::tell_touch()
+void fleet_worker::report_config_validity()
 {
     const auto moment = now();
-    const auto until = this->in_touch_until(moment);
+    const auto until = this->config_valid_until(moment);
     const bool in_touch = until > moment;
-    const bool is_news = until - this->told_until >= touch_step || in_touch != this->was_in_touch;
-    if (!is_news) {
+    const bool is_change =
+        until - this->reported_until >= min_validity_step || in_touch != this->was_in_touch;
+    if (!is_change) {
         return;
     }
     this->carry_out_all(); // a newer configuration goes ahead of the word that it is in force
-    this->told_until = until;
-    this->routing->submit(touch_changed{until});
+    this->reported_until = until;
+    this->routing->submit(config_validity_changed{until});
     if (in_touch != this->was_in_touch) {
         this->was_in_touch = in_touch;
         adapters::log_change(in_touch ? "configuration_confirmed" : "configuration_unconfirmed",
@@ -512,7 +515,7 @@
     }
 }
 
-void fleet_duty::publish_view()
+void fleet_worker::publish_view()
 {
     fleet_view fresh;
     fresh.revision = this->replica.current()->revision();
--- a/router/src/fleet_worker.hpp
+++ b/router/src/fleet_worker.hpp
@@ -45,9 +45,9 @@
 
 // The thread on which the coordination parts run: the configuration's replica, and with it whatever
 // this router agrees on with the others or keeps in the store.
-class fleet_duty : public fleet_sink {
+class fleet_worker : public fleet_sink {
 public:
-    struct ports {
+    struct dependencies {
         const router_settings& settings;
         std::string incarnation;
         std::uint64_t seed;
@@ -56,10 +56,10 @@
         published<decision::configuration_ptr>& configuration;
     };
 
-    explicit fleet_duty(const ports& all_ports);
-    ~fleet_duty() override;
-    fleet_duty(const fleet_duty&) = delete;
-    fleet_duty& operator=(const fleet_duty&) = delete;
+    explicit fleet_worker(const dependencies& all_dependencies);
+    ~fleet_worker() override;
+    fleet_worker(const fleet_worker&) = delete;
+    fleet_worker& operator=(const fleet_worker&) = delete;
 
     // Both outlive the duty's thread.
     void start(routing_sink& routing_events, adapters::peer_link& peer_link,
@@ -74,11 +74,11 @@
     void run();
     void tick();
     void handle(store_replied& event);
-    void handle(peer_spoke& event);
+    void handle(peer_message_received& event);
     void handle(bill_due& event);
-    void handle(claim_wanted& event);
+    void handle(claim_requested& event);
     void handle(claim_settled& event);
-    void handle(fact_found& event);
+    void handle(fact_observed& event);
     void handle(leave_begun& event);
 
     // Takes the actions of every part and carries them out.
@@ -96,14 +96,14 @@
     void carry_out(fleet_part part, const coordination::fact_forgotten& action);
 
     void join_fleet();
-    void tell_members();
-    void keep_rollouts();
+    void update_members();
+    void update_rollouts();
 
-    void tell_touch();
-    [[nodiscard]] decision::instant in_touch_until(decision::instant moment) const;
+    void report_config_validity();
+    [[nodiscard]] decision::instant config_valid_until(decision::instant moment) const;
     void publish_view();
 
-    ports all;
+    dependencies deps;
     routing_sink* routing = nullptr;
     adapters::peer_link* link = nullptr;
     std::uint16_t own_operator_port = 0;
@@ -117,16 +117,16 @@
     coordination::bill_ledger ledger;
     coordination::once_claims claims;
     coordination::fact_table facts;
-    rollout_keeper rollouts;
+    rollout_controller rollouts;
     std::optional<coordination::membership> fleet; // from the start of the thread on
     std::map<coordination::claim_number, exchange_ptr> claimants;
     std::multimap<std::string, bill_due> unbilled; // by request
     decision::instant next_tick;
     decision::instant next_members;
     bool left = false;
-    decision::instant told_until;
+    decision::instant reported_until;
     bool was_in_touch = false;
-    fleet_changed told_place;
+    fleet_changed reported_position;
     published<fleet_view> latest_view;
     std::thread thread;
 };
--- a/router/src/http_reply.cpp
+++ b/router/src/http_reply.cpp
@@ -14,12 +14,12 @@
 using decision::failure_code;
 using decision::run_state;
 
-struct code_form {
+struct code_mapping {
     const char* name;
     int status;
 };
 
-code_form form_of(failure_code code)
+code_mapping to_error_response(failure_code code)
 {
     switch (code) {
     case failure_code::unknown_model:
@@ -136,32 +136,33 @@
     return write_all(connection, "0\r\n\r\n");
 }
 
-failure_form form_of(const decision::failure& why)
+error_response to_error_response(const decision::failure& why)
 {
-    const auto form = form_of(why.code);
-    failure_form made;
-    made.status = form.status;
-    made.body = error_body(form.name, why.detail, name_of(why.run), why.resend);
+    const auto mapping = to_error_response(why.code);
+    error_response response;
+    response.status = mapping.status;
+    response.body = error_body(mapping.name, why.detail, name_of(why.run), why.resend);
     if (why.resend && why.retry_after > decision::duration::zero()) {
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(why.retry_after).count();
-        made.headers.emplace_back("Retry-After", std::to_string(seconds));
+        response.headers.emplace_back("Retry-After", std::to_string(seconds));
     }
-    return made;
+    return response;
 }
 
-failure_form turned_away(int status, std::string_view code, std::string_view message)
+error_response make_rejection(int status, std::string_view code, std::string_view message)
 {
-    failure_form made;
-    made.status = status;
-    made.body = error_body(code, message, "not_run", false);
-    return made;
+    error_response response;
+    response.status = status;
+    response.body = error_body(code, message, "not_run", false);
+    return response;
 }
 
-bool send_failure(mg_connection* connection, const failure_form& form, const header_list& more)
+bool send_failure(mg_connection* connection, const error_response& response,
+                  const header_list& more)
 {
-    header_list headers = form.headers;
+    header_list headers = response.headers;
     headers.insert(headers.end(), more.begin(), more.end());
-    return send_answer(connection, form.status, "application/json", headers, form.body);
+    return send_answer(connection, response.status, "application/json", headers, response.body);
 }
 
 } // namespace pearhaven::router
--- a/router/src/http_reply.hpp
+++ b/router/src/http_reply.hpp
@@ -38,17 +38,17 @@
 bool end_stream(mg_connection* connection);
 
 // How a failure looks to the caller.
-struct failure_form {
+struct error_response {
     int status = status_unavailable;
     header_list headers;
     std::string body;
 };
-failure_form form_of(const decision::failure& why);
+error_response to_error_response(const decision::failure& why);
 
 // A request that was turned away before it became one: malformed, without a known key, too large.
-failure_form turned_away(int status, std::string_view code, std::string_view message);
+error_response make_rejection(int status, std::string_view code, std::string_view message);
 
-bool send_failure(mg_connection* connection, const failure_form& form,
+bool send_failure(mg_connection* connection, const error_response& response,
                   const header_list& more = {});
 
 } // namespace pearhaven::router
--- a/router/src/operator_server.cpp
+++ b/router/src/operator_server.cpp
@@ -78,13 +78,13 @@
     } else if (path == "/metrics") {
         send_answer(connection, status_ok, "text/plain; version=0.0.4", {}, this->pages.metrics());
     } else if (path != "/v1/status" && path != "/v1/endpoints") {
-        send_failure(
-            connection,
-            turned_away(status_not_found, "unknown_path",
-                        "allowed are /v1/status, /v1/endpoints, /metrics, /healthz and /readyz"));
+        send_failure(connection,
+                     make_rejection(
+                         status_not_found, "unknown_path",
+                         "allowed are /v1/status, /v1/endpoints, /metrics, /healthz and /readyz"));
     } else if (!this->has_key(connection)) {
-        send_failure(connection, turned_away(status_unauthorized, "unknown_key",
-                                             "Authorization: found no operators' key"));
+        send_failure(connection, make_rejection(status_unauthorized, "unknown_key",
+                                                "Authorization: found no operators' key"));
     } else {
         const auto body = path == "/v1/status" ? this->pages.status() : this->pages.endpoints();
         send_answer(connection, status_ok, "application/json", {}, body);
--- a/router/src/pace_meter.cpp
+++ b/router/src/pace_meter.cpp
@@ -8,33 +8,33 @@
 
 // Gaps of which the middle one is the pace. Fewer than half of them meet another caller's prompt on
 // a calm day; more would come too late for a roll-out's verdict.
-constexpr std::size_t enough_gaps = 8;
+constexpr std::size_t sample_gaps = 8;
 
 // Of a stream that ended before.
-constexpr std::size_t least_gaps = 3;
+constexpr std::size_t min_gaps = 3;
 
 } // namespace
 
 std::optional<decision::duration> pace_meter::on_piece(decision::instant now)
 {
-    if (this->told) {
+    if (this->reported) {
         return std::nullopt;
     }
     if (this->last) {
         this->gaps.push_back(now - *this->last);
     }
     this->last = now;
-    return this->gaps.size() < enough_gaps ? std::nullopt : this->tell();
+    return this->gaps.size() < sample_gaps ? std::nullopt : this->report();
 }
 
 std::optional<decision::duration> pace_meter::at_end()
 {
-    return this->told || this->gaps.size() < least_gaps ? std::nullopt : this->tell();
+    return this->reported || this->gaps.size() < min_gaps ? std::nullopt : this->report();
 }
 
-std::optional<decision::duration> pace_meter::tell()
+std::optional<decision::duration> pace_meter::report()
 {
-    this->told = true;
+    this->reported = true;
     const auto middle = this->gaps.begin() + static_cast<std::ptrdiff_t>(this->gaps.size() / 2);
     std::nth_element(this->gaps.begin(), middle, this->gaps.end());
     return *middle;
--- a/router/src/pace_meter.hpp
+++ b/router/src/pace_meter.hpp
@@ -20,11 +20,11 @@
     [[nodiscard]] std::optional<decision::duration> at_end();
 
 private:
-    [[nodiscard]] std::optional<decision::duration> tell();
+    [[nodiscard]] std::optional<decision::duration> report();
 
     std::vector<decision::duration> gaps;
     std::optional<decision::instant> last;
-    bool told = false;
+    bool reported = false;
 };
 
 } // namespace pearhaven::router
--- a/router/src/peer_messenger.cpp
+++ b/router/src/peer_messenger.cpp
@@ -15,7 +15,7 @@
 {
     coordination::peer_exchange_settings made;
     made.self = settings.self;
-    made.zone = settings.listens_at.zone;
+    made.zone = settings.listen_address.zone;
     made.seed = decision::fingerprint(settings.self, "peers", "");
     return made;
 }
@@ -24,7 +24,7 @@
 {
     coordination::watch_share_settings made;
     made.self = settings.self;
-    made.zone = settings.listens_at.zone;
+    made.zone = settings.listen_address.zone;
     made.word_lifetime = settings.max_update_delay * 3 / 5;
     made.spread = settings.max_update_delay / 10;
     return made;
@@ -63,12 +63,12 @@
     read.zone = space == std::string_view::npos ? std::string_view() : text.substr(space + 1);
     const auto* end = address.data() + address.size();
     const auto parsed = std::from_chars(address.data() + colon + 1, end, read.port);
-    const bool whole = parsed.ec == std::errc() && parsed.ptr == end && read.port != 0;
-    return whole ? std::make_optional(read) : std::nullopt;
+    const bool valid = parsed.ec == std::errc() && parsed.ptr == end && read.port != 0;
+    return valid ? std::make_optional(read) : std::nullopt;
 }
 
-peer_messenger::peer_messenger(parts all, const peer_messenger_settings& chosen)
-    : used(std::move(all)), settings(chosen), exchange(exchange_settings_for(chosen)),
+peer_messenger::peer_messenger(dependencies all_dependencies, const peer_messenger_settings& chosen)
+    : deps(std::move(all_dependencies)), settings(chosen), exchange(exchange_settings_for(chosen)),
       share(share_settings_for(chosen))
 {}
 
@@ -78,18 +78,18 @@
         return;
     }
     adapters::peer_link_settings chosen;
-    chosen.listen_host = this->settings.listens_at.host;
-    chosen.listen_port = this->settings.listens_at.port;
+    chosen.listen_host = this->settings.listen_address.host;
+    chosen.listen_port = this->settings.listen_address.port;
     chosen.self = this->settings.self;
     chosen.fleet_key = fleet_key;
-    const auto pass_on = [this](const std::string& from, const adapters::peer_address& reply_to,
+    const auto deliver = [this](const std::string& from, const adapters::peer_address& reply_to,
                                 coordination::peer_message message) {
-        this->used.loop.post([this, from, reply_to, message = std::move(message)] {
-            this->take(from, reply_to, message);
+        this->deps.loop.post([this, from, reply_to, message = std::move(message)] {
+            this->handle(from, reply_to, message);
         });
     };
     try {
-        this->link = adapters::make_peer_link(chosen, pass_on);
+        this->link = adapters::make_peer_link(chosen, deliver);
         adapters::log_change("peers_open", {{"port", std::to_string(this->link->port())}});
     } catch (const std::system_error& error) {
         adapters::log_warning("peers_closed", {{"cause", error.what()}});
@@ -114,121 +114,123 @@
         return;
     }
     this->set_watch_mode();
-    const auto& mirror = this->used.mirror;
+    const auto& mirror = this->deps.mirror;
     const auto sends =
-        this->exchange.on_tick(this->used.dispatcher.endpoints().own_loads(),
+        this->exchange.on_tick(this->deps.dispatcher.endpoints().own_loads(),
                                {mirror.is_in_touch(), mirror.revision(), mirror.has_to_ask()},
-                               this->used.loop.now(), this->used.dispatcher.filling_loads());
+                               this->deps.loop.now(), this->deps.dispatcher.filling_loads());
     for (const auto& send : sends) {
         this->link->send({send.to.host, send.to.port}, send.message);
     }
 }
 
-void peer_messenger::take(const std::string& from, const adapters::peer_address& reply_to,
-                          const coordination::peer_message& message)
+void peer_messenger::handle(const std::string& from, const adapters::peer_address& reply_to,
+                            const coordination::peer_message& message)
 {
-    if (const auto* told = std::get_if<coordination::load_push>(&message)) {
-        this->used.dispatcher.on_loads_told(from, told->loads, this->used.loop.now());
-    } else if (const auto* asked = std::get_if<coordination::mirror_pull>(&message)) {
-        this->answer(reply_to, *asked);
-    } else if (const auto* news = std::get_if<coordination::mirror_news>(&message)) {
-        this->take(from, reply_to, *news);
+    if (const auto* push = std::get_if<coordination::load_push>(&message)) {
+        this->deps.dispatcher.on_loads_told(from, push->loads, this->deps.loop.now());
+    } else if (const auto* pull = std::get_if<coordination::mirror_pull>(&message)) {
+        this->answer(reply_to, *pull);
+    } else if (const auto* updates = std::get_if<coordination::mirror_news>(&message)) {
+        this->handle(from, reply_to, *updates);
     }
 }
 
 void peer_messenger::set_watch_mode()
 {
-    const auto wanted = this->share.mode(this->used.loop.now());
+    const auto wanted = this->share.mode(this->deps.loop.now());
     if (wanted != this->mode) {
         this->mode = wanted;
-        this->used.mirror.set_mode(wanted);
+        this->deps.mirror.set_mode(wanted);
         adapters::log_change("watch_mode",
                              {{"mode", name_of(wanted)},
-                              {"revision", std::to_string(this->used.mirror.revision())}});
+                              {"revision", std::to_string(this->deps.mirror.revision())}});
     }
 }
 
 void peer_messenger::forward_updates()
 {
-    const auto& mirror = this->used.mirror;
-    const bool passes_on = this->link && this->mode == coordination::watch_mode::for_others &&
-                           mirror.is_in_touch() && mirror.confirmed_at() != this->passed_on_at;
-    if (!passes_on) {
+    const auto& mirror = this->deps.mirror;
+    const bool forwards = this->link && this->mode == coordination::watch_mode::for_others &&
+                          mirror.is_in_touch() &&
+                          mirror.confirmed_at() != this->forwarded_confirmation;
+    if (!forwards) {
         return;
     }
-    const auto from = this->passed_on == 0 ? mirror.revision() : this->passed_on;
-    auto news = mirror.news_after(from);
-    if (!news) {
+    const auto from = this->forwarded_revision == 0 ? mirror.revision() : this->forwarded_revision;
+    auto updates = mirror.news_after(from);
+    if (!updates) {
         return;
     }
-    auto word = coordination::without_large_values(std::move(*news));
-    word.age = this->used.loop.now() - mirror.confirmed_at();
-    this->passed_on = word.as_of;
-    this->passed_on_at = mirror.confirmed_at();
+    auto forwarded = coordination::without_large_values(std::move(*updates));
+    forwarded.age = this->deps.loop.now() - mirror.confirmed_at();
+    this->forwarded_revision = forwarded.as_of;
+    this->forwarded_confirmation = mirror.confirmed_at();
     std::size_t bytes = 0;
-    for (const auto& entry : word.entries) {
+    for (const auto& entry : forwarded.entries) {
         bytes += entry.value.size();
     }
     for (const auto& peer : this->exchange.near()) {
-        this->link->send({peer.host, peer.port}, word);
-        this->used.counts.add("pearhaven_peer_news_bytes", {}, bytes);
+        this->link->send({peer.host, peer.port}, forwarded);
+        this->deps.counts.add("pearhaven_peer_news_bytes", {}, bytes);
     }
 }
 
 // What a watcher passes on follows what it passed on before. Whoever missed that asks it for the
 // rest, unless it has to ask the store anyway; what the word itself tells holds all the same.
-void peer_messenger::take(const std::string& from, const adapters::peer_address& reply_to,
-                          const coordination::mirror_news& news)
+void peer_messenger::handle(const std::string& from, const adapters::peer_address& reply_to,
+                            const coordination::mirror_news& updates)
 {
-    if (news.nonce != 0) {
-        this->tell_mirror(from, news);
+    if (updates.nonce != 0) {
+        this->update_mirror(from, updates);
         return;
     }
-    const auto known = this->used.mirror.revision();
-    if (news.as_of > known) {
-        this->used.mirror.on_told(news);
-        this->used.on_news();
+    const auto known = this->deps.mirror.revision();
+    if (updates.as_of > known) {
+        this->deps.mirror.on_told(updates);
+        this->deps.on_updates();
     }
-    if (!news.whole && news.after > known && !this->used.mirror.has_to_ask()) {
+    if (!updates.valid && updates.after > known && !this->deps.mirror.has_to_ask()) {
         this->link->send(reply_to, coordination::mirror_pull{0, known});
         return;
     }
-    this->share.on_word(news.as_of, this->used.mirror.revision(), news.age, this->used.loop.now());
+    this->share.on_word(updates.as_of, this->deps.mirror.revision(), updates.age,
+                        this->deps.loop.now());
 }
 
 // The store may serve the one that asks again before the answer comes; what is told late is older
 // than what is known, and changes nothing.
-void peer_messenger::tell_mirror(const std::string& from, const coordination::mirror_news& news)
+void peer_messenger::update_mirror(const std::string& from,
+                                   const coordination::mirror_news& updates)
 {
-    if (!this->exchange.takes(news)) {
+    if (!this->exchange.takes(updates)) {
         return;
     }
-    if (news.age >= decision::duration::zero()) {
-        this->used.mirror.on_others_served(this->used.loop.now() - news.age);
+    if (updates.age >= decision::duration::zero()) {
+        this->deps.mirror.on_others_served(this->deps.loop.now() - updates.age);
     }
-    if (news.as_of <= this->used.mirror.revision()) {
+    if (updates.as_of <= this->deps.mirror.revision()) {
         return;
     }
-    this->used.counts.add("pearhaven_peer_news", {});
+    this->deps.counts.add("pearhaven_peer_news", {});
     adapters::log_change("heard_from_peer", {{"peer", from},
-                                             {"revision", std::to_string(news.as_of)},
-                                             {"changes", std::to_string(news.entries.size())},
-                                             {"whole", news.whole ? "true" : "false"}});
-    this->used.mirror.on_told(news);
-    this->used.on_news();
+                                             {"revision", std::to_string(updates.as_of)},
+                                             {"changes", std::to_string(updates.entries.size())},
+                                             {"whole", updates.valid ? "true" : "false"}});
+    this->deps.mirror.on_told(updates);
+    this->deps.on_updates();
 }
 
-void peer_messenger::answer(const adapters::peer_address& to,
-                            const coordination::mirror_pull& asked)
+void peer_messenger::answer(const adapters::peer_address& to, const coordination::mirror_pull& pull)
 {
-    auto news = this->used.mirror.news_after(asked.after);
-    if (news && this->link) {
-        if (!asked.large) {
-            news = coordination::without_large_values(std::move(*news));
+    auto updates = this->deps.mirror.news_after(pull.after);
+    if (updates && this->link) {
+        if (!pull.large) {
+            updates = coordination::without_large_values(std::move(*updates));
         }
-        news->nonce = asked.nonce;
-        news->age = this->used.loop.now() - this->used.mirror.confirmed_at();
-        this->link->send(to, *news);
+        updates->nonce = pull.nonce;
+        updates->age = this->deps.loop.now() - this->deps.mirror.confirmed_at();
+        this->link->send(to, *updates);
     }
 }
 
--- a/router/src/relayed_request.hpp
+++ b/router/src/relayed_request.hpp
@@ -13,10 +13,10 @@
 
 // What is done with the answer that an attempt gets.
 enum class answer_use : std::uint8_t {
-    awaited, // no head has come
-    unread,  // a refusal, whose body says nothing more
-    held,    // gathered, and delivered once it is whole
-    passed,  // delivered as it comes
+    awaited,   // no head has come
+    discarded, // a refusal, whose body says nothing more
+    buffered,  // gathered, and delivered once it is whole
+    forwarded, // delivered as it comes
 };
 
 // One attempt of a request, as the relay sees it.
@@ -24,18 +24,18 @@
     decision::attempt_number number = 0; // 0: none is under way
     adapters::outbound_number exchange = 0;
     decision::endpoint_host endpoint;
-    std::string choice; // version, and size of the model where there is a choice, for the log
+    std::string target_label; // version, and size of the model where there is a choice, for the log
     decision::instant started;
     decision::duration first_token{};
     adapters::http_response_head head;
     answer_facts facts;
     answer_use use = answer_use::awaited;
-    std::string held;
+    std::string buffered;
     event_splitter events;
     std::uint64_t tokens = 0; // events passed on
     pace_meter pace;
     std::uint32_t silences = 0; // waits in a row that brought nothing
-    bool spoiled = false;       // an event that does not follow the one before
+    bool invalid = false;       // an event that does not follow the one before
 };
 
 // A request between its caller and the endpoints.
--- a/router/src/request_claim.cpp
+++ b/router/src/request_claim.cpp
@@ -20,8 +20,8 @@
 } // namespace
 
 request_claim::request_claim(fleet_sink& fleet_events, exchange_ptr of_request,
-                             std::chrono::milliseconds longest_wait)
-    : fleet(fleet_events), request(std::move(of_request)), patience(longest_wait)
+                             std::chrono::milliseconds max_wait)
+    : fleet(fleet_events), request(std::move(of_request)), timeout(max_wait)
 {}
 
 request_claim::~request_claim()
@@ -29,13 +29,13 @@
     this->settle(decision::run_state::not_run, "");
 }
 
-std::optional<decision::failure> request_claim::take(const std::string& key)
+std::optional<decision::failure> request_claim::acquire(const std::string& key)
 {
-    this->fleet.submit(claim_wanted{this->request->team, key, this->request});
-    const auto event = this->request->events.pop_for(this->patience);
+    this->fleet.submit(claim_requested{this->request->team, key, this->request});
+    const auto event = this->request->events.pop_for(this->timeout);
     const auto* answer = answer_in(event);
     if (answer == nullptr) {
-        return this->drop();
+        return this->abandon();
     }
     this->granted = answer->granted;
     return answer->granted ? std::nullopt : std::optional(answer->why);
@@ -44,9 +44,9 @@
 // From here on the fleet thread closes a claim that it grants. One that was granted at this moment
 // may lie in the ring and be closed as not run all the same: were it taken, the request would run
 // under a claim that lets a resend elsewhere run it again. So nothing runs, and both may close it.
-decision::failure request_claim::drop()
+decision::failure request_claim::abandon()
 {
-    this->request->claim_dropped.store(true);
+    this->request->claim_abandoned.store(true);
     const auto event = this->request->events.pop_for(std::chrono::seconds(0));
     const auto* answer = answer_in(event);
     if (answer == nullptr) {
--- a/router/src/request_claim.hpp
+++ b/router/src/request_claim.hpp
@@ -16,27 +16,27 @@
 public:
     // The fleet thread decides each claim within its own, shorter patience; this one covers a fleet
     // thread that is itself held up.
-    static constexpr std::chrono::milliseconds default_patience{5000};
+    static constexpr std::chrono::milliseconds default_timeout{5000};
 
     request_claim(fleet_sink& fleet_events, exchange_ptr of_request,
-                  std::chrono::milliseconds longest_wait = default_patience);
+                  std::chrono::milliseconds max_wait = default_timeout);
     ~request_claim();
     request_claim(const request_claim&) = delete;
     request_claim& operator=(const request_claim&) = delete;
 
     // Waits for the claim under the caller's key. Nothing when it is granted; else the final
     // answer.
-    [[nodiscard]] std::optional<decision::failure> take(const std::string& key);
+    [[nodiscard]] std::optional<decision::failure> acquire(const std::string& key);
 
     // How the request ended; does nothing where no claim was taken.
     void settle(decision::run_state run, const std::string& outcome);
 
 private:
-    decision::failure drop();
+    decision::failure abandon();
 
     fleet_sink& fleet;
     exchange_ptr request;
-    std::chrono::milliseconds patience;
+    std::chrono::milliseconds timeout;
     std::optional<coordination::claim_number> granted;
 };
 
--- a/router/src/rollout_controller.cpp
+++ b/router/src/rollout_controller.cpp
@@ -21,11 +21,11 @@
 using decision::rollout_move;
 using nlohmann::json;
 
-constexpr decision::duration look_period = std::chrono::milliseconds(100);
+constexpr decision::duration evaluation_period = std::chrono::milliseconds(100);
 
 // After a change that was not accepted. Whatever came in its way is in force by then, or is seen
 // then.
-constexpr decision::duration pause_after_change = std::chrono::milliseconds(500);
+constexpr decision::duration delay_after_change = std::chrono::milliseconds(500);
 
 coordination::lease_holder_settings duty_settings(const coordination::incarnation_id& self,
                                                   std::uint64_t seed)
@@ -37,21 +37,21 @@
     return chosen;
 }
 
-std::uint64_t sum_of(const rollout_scene& scene, const std::string& subject, bool of_live_only)
+std::uint64_t sum_of(const rollout_context& context, const std::string& subject, bool of_live_only)
 {
     std::uint64_t sum = 0;
-    for (const auto& told : scene.facts->about(fact_kind::exposure_spent, subject)) {
-        if (!of_live_only || scene.live.count(told.author) > 0) {
-            sum += static_cast<std::uint64_t>(told.value);
+    for (const auto& reported : context.facts->about(fact_kind::exposure_spent, subject)) {
+        if (!of_live_only || context.live.count(reported.author) > 0) {
+            sum += static_cast<std::uint64_t>(reported.value);
         }
     }
     return sum;
 }
 
-bool is_tripped(const rollout& plan, const rollout_scene& scene)
+bool is_tripped(const rollout& plan, const rollout_context& context)
 {
-    const auto told = scene.facts->about(fact_kind::version_tripped, plan.to);
-    return std::any_of(told.begin(), told.end(), [&plan](const coordination::fact& one) {
+    const auto reported = context.facts->about(fact_kind::version_tripped, plan.to);
+    return std::any_of(reported.begin(), reported.end(), [&plan](const coordination::fact& one) {
         return static_cast<std::uint64_t>(one.value) == plan.run;
     });
 }
@@ -77,10 +77,10 @@
 
 // The object as it is stored, with other values for some fields of its spec; nothing where it is
 // not stored or cannot be read.
-std::optional<config_object> edited(const rollout_scene& scene, const std::string& kind,
-                                    const std::string& name, const json& fields)
+std::optional<config_object> edited_object(const rollout_context& context, const std::string& kind,
+                                           const std::string& name, const json& fields)
 {
-    const auto* const stored = scene.stored->find(kind, name);
+    const auto* const stored = context.stored->find(kind, name);
     if (stored == nullptr) {
         return std::nullopt;
     }
@@ -92,17 +92,17 @@
     return config_object{kind, name, body.dump()};
 }
 
-json fields_after(const rollout& plan, rollout_move move, const rollout_scene& scene)
+json fields_after(const rollout& plan, rollout_move move, const rollout_context& context)
 {
     switch (move) {
     case rollout_move::begin:
     case rollout_move::renew:
         return {{"state", "running"},
                 {"step", plan.step},
-                {"run", scene.stored->revision() + 1},
-                {"routers", scene.live.size()}};
+                {"run", context.stored->revision() + 1},
+                {"routers", context.live.size()}};
     case rollout_move::advance:
-        return {{"step", plan.step + 1}, {"routers", scene.live.size()}};
+        return {{"step", plan.step + 1}, {"routers", context.live.size()}};
     case rollout_move::finish:
         return {{"state", "done"}};
     case rollout_move::roll_back:
@@ -122,91 +122,96 @@
 
 } // namespace
 
-rollout_keeper::rollout_keeper(const coordination::incarnation_id& self, std::uint64_t random_seed,
-                               const coordination::duty_codec& duties,
-                               const coordination::config_head_codec& heads, decision::instant now)
+rollout_controller::rollout_controller(const coordination::incarnation_id& self,
+                                       std::uint64_t random_seed,
+                                       const coordination::duty_codec& duties,
+                                       const coordination::config_head_codec& heads,
+                                       decision::instant now)
     : seed(random_seed), head_codec(heads), duty(duty_settings(self, random_seed), duties, now)
 {}
 
-void rollout_keeper::on_tick(const rollout_scene& scene, decision::instant now)
+void rollout_controller::on_tick(const rollout_context& context, decision::instant now)
 {
     this->duty.on_tick(now);
     if (this->writer) {
         this->writer->on_tick(now);
     }
     this->collect();
-    if (!this->writer && now >= this->next_look) {
-        this->next_look = now + look_period;
-        this->look(scene, now);
+    if (!this->writer && now >= this->next_evaluation) {
+        this->next_evaluation = now + evaluation_period;
+        this->evaluate(context, now);
         this->collect();
     }
 }
 
-void rollout_keeper::look(const rollout_scene& scene, decision::instant now)
+void rollout_controller::evaluate(const rollout_context& context, decision::instant now)
 {
-    const bool is_ready = scene.current != nullptr && this->duty.may_order(now) &&
-                          scene.current->revision() == scene.stored->revision() &&
-                          scene.stored->revision() >= this->awaited_revision;
+    const bool is_ready = context.current != nullptr && this->duty.may_order(now) &&
+                          context.current->revision() == context.stored->revision() &&
+                          context.stored->revision() >= this->awaited_revision;
     if (!is_ready) {
         return;
     }
-    for (const auto& [name, plan] : scene.current->rollouts()) {
-        const auto next = this->judge.judge(plan, sight_of(plan, scene), now);
+    for (const auto& [name, plan] : context.current->rollouts()) {
+        const auto next = this->judge.judge(plan, observe(plan, context), now);
         if (next != rollout_move::stay) {
-            this->move(plan, next, scene, now);
+            this->apply(plan, next, context, now);
             return; // one change at a time
         }
     }
 }
 
-decision::rollout_sight rollout_keeper::sight_of(const rollout& plan, const rollout_scene& scene)
+decision::rollout_sight rollout_controller::observe(const rollout& plan,
+                                                    const rollout_context& context)
 {
     const auto subject = [&plan](const char* what) {
         return rollout_subject(plan.name, plan.run, what);
     };
-    decision::rollout_sight sight;
-    sight.seen.good = sum_of(scene, subject(good_ends), false);
-    sight.seen.bad = sum_of(scene, subject(bad_ends), false);
-    sight.left = sum_of(scene, subject(callers_left), true);
-    sight.tripped = is_tripped(plan, scene);
-    return sight;
+    decision::rollout_sight observation;
+    observation.seen.good = sum_of(context, subject(good_outcomes), false);
+    observation.seen.bad = sum_of(context, subject(bad_outcomes), false);
+    observation.left = sum_of(context, subject(remaining_callers), true);
+    observation.tripped = is_tripped(plan, context);
+    return observation;
 }
 
-void rollout_keeper::move(const rollout& plan, rollout_move next, const rollout_scene& scene,
-                          decision::instant now)
+void rollout_controller::apply(const rollout& plan, rollout_move next,
+                               const rollout_context& context, decision::instant now)
 {
     coordination::config_edit edit;
     edit.write_id = adapters::random_identifier();
     edit.author = "rollout " + plan.name;
     edit.unix_ms = unix_ms();
-    edit.seen_revision = scene.stored->revision();
-    const auto object = edited(scene, "rollout", plan.name, fields_after(plan, next, scene));
+    edit.seen_revision = context.stored->revision();
+    const auto object =
+        edited_object(context, "rollout", plan.name, fields_after(plan, next, context));
     if (!object) {
         return;
     }
     edit.objects.push_back(*object);
-    const auto* const version = scene.current->find_version(plan.to);
+    const auto* const version = context.current->find_version(plan.to);
     if (next == rollout_move::roll_back && version != nullptr && !version->withdrawn) {
-        if (const auto withdrawn = edited(scene, "version", plan.to, {{"withdrawn", true}})) {
+        if (const auto withdrawn =
+                edited_object(context, "version", plan.to, {{"withdrawn", true}})) {
             edit.objects.push_back(*withdrawn);
         }
     }
-    const auto sight = sight_of(plan, scene);
+    const auto observation = observe(plan, context);
     adapters::log_change("rollout_moving", {{"rollout", plan.name},
                                             {"move", name_of(next)},
                                             {"step", std::to_string(plan.step)},
-                                            {"good", std::to_string(sight.seen.good)},
-                                            {"bad", std::to_string(sight.seen.bad)}});
+                                            {"good", std::to_string(observation.seen.good)},
+                                            {"bad", std::to_string(observation.seen.bad)}});
     coordination::config_writer_settings chosen;
-    chosen.seed = this->seed + this->writers;
-    ++this->writers;
+    chosen.seed = this->seed + this->writer_count;
+    ++this->writer_count;
     this->writer.emplace(chosen, this->head_codec);
     this->writer->start(std::move(edit), now);
-    this->next_look = now + pause_after_change;
+    this->next_evaluation = now + delay_after_change;
 }
 
-void rollout_keeper::on_reply(coordination::call_tag tag, const coordination::kv_reply& reply,
-                              decision::instant now)
+void rollout_controller::on_reply(coordination::call_tag tag, const coordination::kv_reply& reply,
+                                  decision::instant now)
 {
     const auto found = this->calls.find(tag);
     if (found == this->calls.end()) {
@@ -216,20 +221,21 @@
     this->calls.erase(found);
     if (call.writer == 0) {
         this->duty.on_reply(call.tag, reply, now);
-    } else if (this->writer && call.writer == this->writers) {
+    } else if (this->writer && call.writer == this->writer_count) {
         this->writer->on_reply(call.tag, reply, now);
     }
     this->collect();
 }
 
-void rollout_keeper::pass_on(std::uint64_t writer_number, const coordination::store_call& call)
+void rollout_controller::submit_call(std::uint64_t writer_number,
+                                     const coordination::store_call& call)
 {
     const auto tag = this->next_tag++;
     this->calls.emplace(tag, open_call{writer_number, call.tag});
     this->actions.emplace_back(coordination::store_call{tag, call.request});
 }
 
-void rollout_keeper::on_written(const coordination::config_write_done& done)
+void rollout_controller::on_written(const coordination::config_write_done& done)
 {
     if (done.error) {
         adapters::log_warning("rollout_move_refused", {{"why", done.error.message()}});
@@ -238,14 +244,14 @@
     this->awaited_revision = done.revision;
 }
 
-void rollout_keeper::collect()
+void rollout_controller::collect()
 {
     using coordination::config_write_done;
     using coordination::store_call;
     using coordination::unreadable_value;
     for (const auto& what : this->duty.take_actions()) {
         if (const auto* call = std::get_if<store_call>(&what)) {
-            this->pass_on(0, *call);
+            this->submit_call(0, *call);
         } else if (const auto* bad = std::get_if<unreadable_value>(&what)) {
             this->actions.emplace_back(*bad);
         } else if (std::holds_alternative<coordination::duty_lost>(what)) {
@@ -261,7 +267,7 @@
     }
     for (const auto& what : this->writer->take_actions()) {
         if (const auto* call = std::get_if<store_call>(&what)) {
-            this->pass_on(this->writers, *call);
+            this->submit_call(this->writer_count, *call);
         } else if (const auto* done = std::get_if<config_write_done>(&what)) {
             this->on_written(*done);
         } else {
@@ -273,12 +279,12 @@
     }
 }
 
-std::vector<rollout_keeper::action> rollout_keeper::take_actions()
+std::vector<rollout_controller::action> rollout_controller::take_actions()
 {
     return std::exchange(this->actions, {});
 }
 
-void rollout_keeper::release()
+void rollout_controller::release()
 {
     this->duty.release();
     this->collect();
--- a/router/src/rollout_controller.hpp
+++ b/router/src/rollout_controller.hpp
@@ -19,7 +19,7 @@
 namespace pearhaven::router {
 
 // What the keeper judges by, at one moment.
-struct rollout_scene {
+struct rollout_context {
     const decision::configuration* current = nullptr;
     const coordination::config_state* stored = nullptr; // the same configuration as stored
     const coordination::fact_table* facts = nullptr;
@@ -31,17 +31,17 @@
 // outlives every router, and loses against an operator who changed the roll-out meanwhile. That
 // also makes a holder harmless that was paused past its lease: its change is on an old revision of
 // the object, and is refused as a conflict.
-class rollout_keeper {
+class rollout_controller {
 public:
     using action = std::variant<coordination::store_call, coordination::unreadable_value>;
 
     // The codecs must outlive the keeper.
-    rollout_keeper(const coordination::incarnation_id& self, std::uint64_t random_seed,
-                   const coordination::duty_codec& duties,
-                   const coordination::config_head_codec& heads, decision::instant now);
+    rollout_controller(const coordination::incarnation_id& self, std::uint64_t random_seed,
+                       const coordination::duty_codec& duties,
+                       const coordination::config_head_codec& heads, decision::instant now);
 
     void set_candidate(bool candidate) { this->duty.set_candidate(candidate); }
-    void on_tick(const rollout_scene& scene, decision::instant now);
+    void on_tick(const rollout_context& context, decision::instant now);
     void on_reply(coordination::call_tag tag, const coordination::kv_reply& reply,
                   decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
@@ -58,13 +58,13 @@
         coordination::call_tag tag = 0;
     };
 
-    void look(const rollout_scene& scene, decision::instant now);
-    [[nodiscard]] static decision::rollout_sight sight_of(const decision::rollout& plan,
-                                                          const rollout_scene& scene);
-    void move(const decision::rollout& plan, decision::rollout_move next,
-              const rollout_scene& scene, decision::instant now);
+    void evaluate(const rollout_context& context, decision::instant now);
+    [[nodiscard]] static decision::rollout_sight observe(const decision::rollout& plan,
+                                                         const rollout_context& context);
+    void apply(const decision::rollout& plan, decision::rollout_move next,
+               const rollout_context& context, decision::instant now);
     void collect();
-    void pass_on(std::uint64_t writer_number, const coordination::store_call& call);
+    void submit_call(std::uint64_t writer_number, const coordination::store_call& call);
     void on_written(const coordination::config_write_done& done);
 
     std::uint64_t seed;
@@ -72,9 +72,9 @@
     coordination::lease_holder duty;
     decision::rollout_judge judge;
     std::optional<coordination::config_writer> writer;
-    std::uint64_t writers = 0;
+    std::uint64_t writer_count = 0;
     std::uint64_t awaited_revision = 0; // of the last change: judged again once it is in force
-    decision::instant next_look;
+    decision::instant next_evaluation;
     coordination::call_tag next_tag = 1;
     std::map<coordination::call_tag, open_call> calls;
     std::vector<action> actions;
--- a/router/src/rollout_subject.hpp
+++ b/router/src/rollout_subject.hpp
@@ -7,9 +7,9 @@
 namespace pearhaven::router {
 
 // What a router tells the others of a roll-out: its counts since the attempt began.
-inline constexpr const char* good_ends = "good";
-inline constexpr const char* bad_ends = "bad";
-inline constexpr const char* callers_left = "left";
+inline constexpr const char* good_outcomes = "good";
+inline constexpr const char* bad_outcomes = "bad";
+inline constexpr const char* remaining_callers = "left";
 
 // Subject of the fact. It holds the attempt's number, so that what was told of an earlier attempt
 // does not count for the next one of the same name.
--- a/router/src/router.cpp
+++ b/router/src/router.cpp
@@ -81,7 +81,7 @@
     parts(const parts&) = delete;
     parts& operator=(const parts&) = delete;
 
-    std::size_t drain(const std::function<bool()>& hurry);
+    std::size_t drain(const std::function<bool()>& stop_now);
 
     router_settings settings;
     std::string incarnation;
@@ -91,8 +91,8 @@
     std::unique_ptr<adapters::http_client> client;
     std::unique_ptr<coordination::key_value_store> store;
     std::unique_ptr<decision::token_authenticator> session_keys;
-    fleet_duty fleet;
-    routing_duty routing;
+    fleet_worker fleet;
+    routing_worker routing;
     std::unique_ptr<adapters::peer_link> link;
     caller_server callers;
     operator_server operators;
@@ -116,7 +116,7 @@
     return adapters::make_peer_link(chosen, [this](const std::string& from,
                                                    const adapters::peer_address& reply_to,
                                                    coordination::peer_message message) {
-        this->fleet.submit(peer_spoke{from, reply_to, std::move(message)});
+        this->fleet.submit(peer_message_received{from, reply_to, std::move(message)});
     });
 }
 
@@ -194,15 +194,16 @@
     return this->counts.exposition();
 }
 
-std::size_t router::parts::drain(const std::function<bool()>& hurry)
+std::size_t router::parts::drain(const std::function<bool()>& stop_now)
 {
     this->draining = true;
     this->fleet.submit(leave_begun{false});
     adapters::log_change("drain_started",
                          {{"in_flight", std::to_string(this->callers.in_flight())}});
     const auto start = std::chrono::steady_clock::now();
-    const auto waits_for = [&](const std::function<bool()>& done, std::chrono::milliseconds bound) {
-        while (!done() && !hurry() && std::chrono::steady_clock::now() - start < bound) {
+    const auto wait_until = [&](const std::function<bool()>& done,
+                                std::chrono::milliseconds bound) {
+        while (!done() && !stop_now() && std::chrono::steady_clock::now() - start < bound) {
             std::this_thread::sleep_for(drain_step);
         }
     };
@@ -211,14 +212,14 @@
     this->routing.submit(drain_begun{{first + this->settings.quiet_before_close, end}});
     // The balancer needs a moment to see that this router is not ready: until then it sends new
     // work, which is still taken, so that nobody is refused by a planned stop.
-    waits_for([] { return false; }, this->settings.quiet_before_close);
+    wait_until([] { return false; }, this->settings.quiet_before_close);
     this->routing.submit(drain_begun{{now(), end}}); // in a hurry before its time
-    waits_for(
+    wait_until(
         [this] { return this->callers.in_flight() == 0 && this->fleet.view().bills_waiting == 0; },
         this->settings.longest_drain);
     const auto cut_off = this->callers.in_flight();
     this->fleet.submit(leave_begun{true});
-    waits_for([this] { return this->fleet.view().left; }, this->settings.longest_drain);
+    wait_until([this] { return this->fleet.view().left; }, this->settings.longest_drain);
     if (cut_off > 0) {
         adapters::log_warning("requests_cut_off", {{"count", std::to_string(cut_off)}});
     }
@@ -245,9 +246,9 @@
     return this->inner->link->port();
 }
 
-std::size_t router::drain(const std::function<bool()>& hurry)
+std::size_t router::drain(const std::function<bool()>& stop_now)
 {
-    return this->inner->drain(hurry);
+    return this->inner->drain(stop_now);
 }
 
 } // namespace pearhaven::router
--- a/router/src/routing_event.hpp
+++ b/router/src/routing_event.hpp
@@ -32,7 +32,7 @@
 };
 
 // Until when this router may take its configuration for the one in force.
-struct touch_changed {
+struct config_validity_changed {
     decision::instant until;
 };
 
@@ -45,18 +45,18 @@
     decision::load_report report;
 };
 
-struct leaving_told {
+struct endpoint_leaving_reported {
     std::string address;
     std::uint64_t incarnation = 0;
 };
 
-struct standing_told {
+struct suspect_status_reported {
     std::uint64_t fingerprint = 0;
     decision::suspect_table::standing standing = decision::suspect_table::standing::clear;
 };
 
 // Another router's evidence has tripped an attempt at rolling the version out.
-struct trip_told {
+struct version_trip_reported {
     std::string version;
     std::uint64_t run = 0;
 };
@@ -75,9 +75,9 @@
 };
 
 using routing_event =
-    std::variant<request_arrived, attempt_ended, caller_gone, configuration_changed, touch_changed,
-                 hosts_listed, load_reported, leaving_told, standing_told, trip_told, fleet_changed,
-                 drain_begun>;
+    std::variant<request_arrived, attempt_ended, caller_gone, configuration_changed,
+                 config_validity_changed, hosts_listed, load_reported, endpoint_leaving_reported,
+                 suspect_status_reported, version_trip_reported, fleet_changed, drain_begun>;
 
 // Port through which the other duties reach the routing thread. Safe from any thread.
 class routing_sink {
--- a/router/src/routing_worker.cpp
+++ b/router/src/routing_worker.cpp
@@ -49,24 +49,24 @@
 
 } // namespace
 
-routing_duty::routing_duty(const router_settings& chosen, adapters::http_client& http_client,
-                           fleet_sink& fleet_events, adapters::metrics& process_metrics,
-                           std::uint64_t seed)
+routing_worker::routing_worker(const router_settings& chosen, adapters::http_client& http_client,
+                               fleet_sink& fleet_events, adapters::metrics& process_metrics,
+                               std::uint64_t seed)
     : settings(chosen), client(http_client), fleet(fleet_events), counts(process_metrics),
       dispatcher(dispatcher_settings_of(chosen, seed)), ring(ring_capacity)
 {}
 
-routing_duty::~routing_duty()
+routing_worker::~routing_worker()
 {
     this->stop();
 }
 
-void routing_duty::start()
+void routing_worker::start()
 {
     this->thread = std::thread([this] { this->run(); });
 }
 
-void routing_duty::stop()
+void routing_worker::stop()
 {
     this->ring.close();
     if (this->thread.joinable()) {
@@ -74,23 +74,23 @@
     }
 }
 
-bool routing_duty::submit(routing_event event)
+bool routing_worker::submit(routing_event event)
 {
     return this->ring.push(std::move(event));
 }
 
-bool routing_duty::offer(routing_event& event)
+bool routing_worker::offer(routing_event& event)
 {
     return this->ring.try_push(event);
 }
 
-routing_view routing_duty::view() const
+routing_view routing_worker::view() const
 {
     const std::lock_guard guard(this->view_mutex);
     return this->latest_view;
 }
 
-void routing_duty::run()
+void routing_worker::run()
 {
     while (!this->ring.is_closed_and_empty()) {
         auto event = this->ring.pop_for(tick_period);
@@ -99,9 +99,9 @@
         }
         if (now() >= this->next_tick) {
             this->next_tick = now() + tick_period;
-            const auto heard_until = now();
+            const auto processed_until = now();
             this->handle_waiting();
-            this->dispatcher.on_tick(now(), heard_until);
+            this->dispatcher.on_tick(now(), processed_until);
             this->poll_when_due();
         }
         this->carry_out();
@@ -109,7 +109,7 @@
 }
 
 // What has come by now is handled: its time is judged next.
-void routing_duty::handle_waiting()
+void routing_worker::handle_waiting()
 {
     for (auto waiting = this->ring.size(); waiting > 0; --waiting) {
         if (auto event = this->ring.pop_for(std::chrono::milliseconds::zero())) {
@@ -118,20 +118,20 @@
     }
 }
 
-void routing_duty::handle(request_arrived& event)
+void routing_worker::handle(request_arrived& event)
 {
-    this->notes.emplace(event.what.ticket, request_note{event.caller, nullptr, {}, 0.0});
+    this->records.emplace(event.what.ticket, request_record{event.caller, nullptr, {}, 0.0});
     this->dispatcher.on_arrival(std::move(event.what), now());
 }
 
-void routing_duty::handle(caller_gone& event)
+void routing_worker::handle(caller_gone& event)
 {
     this->dispatcher.on_caller_gone(event.ticket, now());
     this->carry_out();
-    this->notes.erase(event.ticket);
+    this->records.erase(event.ticket);
 }
 
-void routing_duty::handle(configuration_changed& event)
+void routing_worker::handle(configuration_changed& event)
 {
     this->dispatcher.on_configuration(event.current, now());
     this->carry_out();
@@ -140,52 +140,52 @@
     this->revision_in_force.store(event.current->revision());
 }
 
-void routing_duty::handle(touch_changed& event)
+void routing_worker::handle(config_validity_changed& event)
 {
     this->dispatcher.on_touch(event.until, now());
 }
 
-void routing_duty::handle(hosts_listed& event)
+void routing_worker::handle(hosts_listed& event)
 {
     this->dispatcher.on_hosts(event.hosts, now());
 }
 
-void routing_duty::handle(load_reported& event)
+void routing_worker::handle(load_reported& event)
 {
     if (!this->dispatcher.on_load_report(event.address, event.report, now())) {
         this->counts.add("pearhaven_load_reports_dropped_total", {});
     }
 }
 
-void routing_duty::handle(leaving_told& event)
+void routing_worker::handle(endpoint_leaving_reported& event)
 {
     this->dispatcher.on_endpoint_leaving(event.address, event.incarnation, now());
 }
 
-void routing_duty::handle(standing_told& event)
+void routing_worker::handle(suspect_status_reported& event)
 {
     this->dispatcher.on_standing_told(event.fingerprint, event.standing, now());
 }
 
-void routing_duty::handle(fleet_changed& event)
+void routing_worker::handle(fleet_changed& event)
 {
     this->dispatcher.on_fleet(event.rank, event.size);
 }
 
-void routing_duty::handle(trip_told& event)
+void routing_worker::handle(version_trip_reported& event)
 {
     this->dispatcher.on_trip_told(event.version, event.run, now());
 }
 
-void routing_duty::handle(drain_begun& begun)
+void routing_worker::handle(drain_begun& begun)
 {
     this->dispatcher.begin_stop(begun.times);
 }
 
-void routing_duty::handle(attempt_ended& ended)
+void routing_worker::handle(attempt_ended& ended)
 {
-    const auto found = this->notes.find(ended.end.ticket);
-    if (found == this->notes.end()) {
+    const auto found = this->records.find(ended.end.ticket);
+    if (found == this->records.end()) {
         return;
     }
     if (ended.used.completion_tokens > 0) {
@@ -197,38 +197,38 @@
     this->dispatcher.on_attempt_end(end, now());
 }
 
-void routing_duty::carry_out()
+void routing_worker::carry_out()
 {
     for (const auto& action : this->dispatcher.take_actions()) {
         std::visit([this](const auto& what) { this->carry_out(what); }, action);
     }
 }
 
-void routing_duty::carry_out(const decision::start_attempt& action)
+void routing_worker::carry_out(const decision::start_attempt& action)
 {
-    auto& note = this->notes.at(action.ticket);
-    note.caller->push(run_started{action.version});
+    auto& record = this->records.at(action.ticket);
+    record.caller->push(run_started{action.version});
     this->counts.add("pearhaven_attempts_total", {{"target", action.version}});
-    if (note.caller->is_service) {
-        this->start_service(note, action);
+    if (record.caller->is_service) {
+        this->start_service(record, action);
         return;
     }
-    this->start_engine(note, action);
+    this->start_engine(record, action);
 }
 
-void routing_duty::start_engine(request_note& note, const decision::start_attempt& action)
+void routing_worker::start_engine(request_record& record, const decision::start_attempt& action)
 {
-    const auto& caller = note.caller;
+    const auto& caller = record.caller;
     const auto suffix =
         "." + adapters::random_identifier().substr(0, 8) + "." + std::to_string(action.attempt);
-    note.run = engine_run_ptr(new engine_run(caller->request_id + suffix, action.version));
+    record.run = engine_run_ptr(new engine_run(caller->request_id + suffix, action.version));
     const auto* version = this->dispatcher.current()->find_version(action.version);
-    note.cost_per_token = version == nullptr ? 0.0 : version->cost_per_token;
+    record.cost_per_token = version == nullptr ? 0.0 : version->cost_per_token;
     adapters::http_request request;
     request.method = "POST";
     request.url = "http://" + action.address + "/v1/chat/completions";
     request.headers = {{"Content-Type", "application/json"},
-                       {"X-Run-Id", note.run->id()},
+                       {"X-Run-Id", record.run->id()},
                        {"X-Request-Id", caller->request_id},
                        {"X-Priority", std::to_string(caller->priority)}};
     request.body = "{\"model\":" + nlohmann::json(action.version).dump() + "," + caller->body;
@@ -238,12 +238,12 @@
     request.fresh_connection = !caller->idempotent;
     request.may_resend = caller->idempotent;
     caller->transfer = this->client.start(
-        std::move(request), new engine_attempt(*this, caller, note.run, action.attempt, false));
+        std::move(request), new engine_attempt(*this, caller, record.run, action.attempt, false));
 }
 
-void routing_duty::start_service(request_note& note, const decision::start_attempt& action)
+void routing_worker::start_service(request_record& record, const decision::start_attempt& action)
 {
-    const auto& caller = note.caller;
+    const auto& caller = record.caller;
     adapters::http_request request;
     request.method = caller->method;
     request.url = "http://" + action.address + caller->path;
@@ -264,99 +264,100 @@
         this->client.start(std::move(request), new service_attempt(*this, caller, action.attempt));
 }
 
-void routing_duty::carry_out(const decision::resume_attempt& action)
+void routing_worker::carry_out(const decision::resume_attempt& action)
 {
-    auto& note = this->notes.at(action.ticket);
-    this->counts.add("pearhaven_resumes_total", {{"target", note.run->version()}});
+    auto& record = this->records.at(action.ticket);
+    this->counts.add("pearhaven_resumes_total", {{"target", record.run->version()}});
     adapters::http_request request;
-    request.url = "http://" + action.address + "/v1/runs/" + note.run->id() +
+    request.url = "http://" + action.address + "/v1/runs/" + record.run->id() +
                   "/resume?offset=" + std::to_string(action.offset);
     request.connect_timeout = this->settings.connect_timeout;
     request.first_byte_timeout = this->settings.first_byte_timeout;
     request.progress_timeout = this->settings.progress_timeout;
     request.fresh_connection = true;
-    note.caller->transfer = this->client.start(
-        std::move(request), new engine_attempt(*this, note.caller, note.run, action.attempt, true));
+    record.caller->transfer =
+        this->client.start(std::move(request), new engine_attempt(*this, record.caller, record.run,
+                                                                  action.attempt, true));
 }
 
-void routing_duty::carry_out(const decision::cancel_attempt& action)
+void routing_worker::carry_out(const decision::cancel_attempt& action)
 {
-    const auto& note = this->notes.at(action.ticket);
-    this->client.cancel(note.caller->transfer);
-    if (note.run) {
+    const auto& record = this->records.at(action.ticket);
+    this->client.cancel(record.caller->transfer);
+    if (record.run) {
         adapters::http_request request;
         request.method = "DELETE";
-        request.url = "http://" + action.address + "/v1/runs/" + note.run->id();
+        request.url = "http://" + action.address + "/v1/runs/" + record.run->id();
         request.total_timeout = load_timeout;
         adapters::fetch(this->client, std::move(request), max_load_body,
                         [](const adapters::http_answer&) {});
     }
 }
 
-coordination::bill routing_duty::make_bill(const request_note& note,
-                                           const decision::complete_request& action) const
+coordination::bill routing_worker::make_bill(const request_record& record,
+                                             const decision::complete_request& action) const
 {
     coordination::bill bill;
-    bill.request = note.caller->request_id;
-    bill.team = note.caller->team;
+    bill.request = record.caller->request_id;
+    bill.team = record.caller->team;
     bill.endpoint = action.address;
-    if (note.caller->is_service) {
+    if (record.caller->is_service) {
         bill.version = "services/" + action.version;
         return bill;
     }
     bill.version = action.version;
-    bill.prompt_tokens = note.last.used.prompt_tokens;
-    bill.completion_tokens = note.last.used.completion_tokens;
+    bill.prompt_tokens = record.last.used.prompt_tokens;
+    bill.completion_tokens = record.last.used.completion_tokens;
     bill.cost =
-        note.cost_per_token * static_cast<double>(bill.prompt_tokens + bill.completion_tokens);
+        record.cost_per_token * static_cast<double>(bill.prompt_tokens + bill.completion_tokens);
     return bill;
 }
 
-void routing_duty::carry_out(const decision::complete_request& action)
+void routing_worker::carry_out(const decision::complete_request& action)
 {
-    const auto found = this->notes.find(action.ticket);
-    auto& note = found->second;
+    const auto found = this->records.find(action.ticket);
+    auto& record = found->second;
     bill_due due;
-    due.what = this->make_bill(note, action);
-    due.caller = note.caller;
-    due.ending = answer_complete{note.last.used, std::move(note.last.last_event)};
+    due.what = this->make_bill(record, action);
+    due.caller = record.caller;
+    due.ending = answer_complete{record.last.used, std::move(record.last.last_event)};
     this->fleet.submit(std::move(due));
-    this->notes.erase(found);
+    this->records.erase(found);
 }
 
-void routing_duty::carry_out(const decision::give_up_request& action)
+void routing_worker::carry_out(const decision::give_up_request& action)
 {
-    const auto found = this->notes.find(action.ticket);
+    const auto found = this->records.find(action.ticket);
     found->second.caller->push(answer_failed{action.why});
-    this->notes.erase(found);
+    this->records.erase(found);
 }
 
-void routing_duty::carry_out(const decision::announce_leaving& action)
+void routing_worker::carry_out(const decision::announce_leaving& action)
 {
-    coordination::fact news;
-    news.kind = coordination::fact_kind::endpoint_leaving;
-    news.subject = action.address;
-    news.value = static_cast<double>(action.incarnation);
-    news.time_to_live = leaving_lifetime;
-    this->fleet.submit(fact_found{std::move(news)});
+    coordination::fact fact;
+    fact.kind = coordination::fact_kind::endpoint_leaving;
+    fact.subject = action.address;
+    fact.value = static_cast<double>(action.incarnation);
+    fact.time_to_live = leaving_lifetime;
+    this->fleet.submit(fact_observed{std::move(fact)});
 }
 
-void routing_duty::carry_out(const decision::announce_standing& action)
+void routing_worker::carry_out(const decision::announce_standing& action)
 {
     using standing = decision::suspect_table::standing;
     if (action.standing == standing::clear) {
         return;
     }
-    coordination::fact news;
-    news.kind = action.standing == standing::quarantined
+    coordination::fact fact;
+    fact.kind = action.standing == standing::quarantined
                     ? coordination::fact_kind::request_quarantined
                     : coordination::fact_kind::request_suspect;
-    news.subject = std::to_string(action.fingerprint);
-    news.time_to_live = standing_lifetime;
-    this->fleet.submit(fact_found{std::move(news)});
+    fact.subject = std::to_string(action.fingerprint);
+    fact.time_to_live = standing_lifetime;
+    this->fleet.submit(fact_observed{std::move(fact)});
 }
 
-void routing_duty::poll_when_due()
+void routing_worker::poll_when_due()
 {
     const auto moment = now();
     if (moment >= this->next_hosts) {
@@ -369,7 +370,7 @@
     }
     if (moment >= this->next_rollouts) {
         this->next_rollouts = moment + rollouts_period;
-        this->tell_rollouts();
+        this->report_rollouts();
     }
     if (moment >= this->next_view) {
         this->next_view = moment + view_period;
@@ -377,66 +378,66 @@
     }
 }
 
-void routing_duty::tell_rollouts()
+void routing_worker::report_rollouts()
 {
     const auto moment = now();
-    std::map<std::string, told_rollout> told;
+    std::map<std::string, reported_rollout> reported;
     for (auto& report : this->dispatcher.rollouts()) {
-        const auto before = this->told_rollouts.find(report.name);
-        const bool is_known = before != this->told_rollouts.end() &&
+        const auto before = this->reported_rollouts.find(report.name);
+        const bool is_known = before != this->reported_rollouts.end() &&
                               before->second.report == report &&
                               moment - before->second.at < rollout_repeat;
         if (!is_known) {
-            this->tell_rollout(report);
+            this->report_rollout(report);
         }
         const auto at = is_known ? before->second.at : moment;
         auto name = report.name;
-        told.emplace(std::move(name), told_rollout{std::move(report), at});
+        reported.emplace(std::move(name), reported_rollout{std::move(report), at});
     }
-    this->told_rollouts = std::move(told);
+    this->reported_rollouts = std::move(reported);
 }
 
-void routing_duty::tell_rollout(const decision::rollout_report& report)
+void routing_worker::report_rollout(const decision::rollout_report& report)
 {
     using coordination::fact_kind;
-    const auto tell = [this](fact_kind kind, std::string subject, std::uint64_t value) {
-        coordination::fact news;
-        news.kind = kind;
-        news.subject = std::move(subject);
-        news.value = static_cast<double>(value);
-        news.time_to_live = rollout_lifetime;
-        this->fleet.submit(fact_found{std::move(news)});
+    const auto publish = [this](fact_kind kind, std::string subject, std::uint64_t value) {
+        coordination::fact fact;
+        fact.kind = kind;
+        fact.subject = std::move(subject);
+        fact.value = static_cast<double>(value);
+        fact.time_to_live = rollout_lifetime;
+        this->fleet.submit(fact_observed{std::move(fact)});
     };
     if (report.tripped) {
-        tell(fact_kind::version_tripped, report.to, report.run);
+        publish(fact_kind::version_tripped, report.to, report.run);
     }
     if (report.state == decision::rollout_state::running && report.run != 0) {
         const auto subject = [&report](const char* what) {
             return rollout_subject(report.name, report.run, what);
         };
-        tell(fact_kind::exposure_spent, subject(good_ends), report.seen.good);
-        tell(fact_kind::exposure_spent, subject(bad_ends), report.seen.bad);
-        tell(fact_kind::exposure_spent, subject(callers_left), report.left);
+        publish(fact_kind::exposure_spent, subject(good_outcomes), report.seen.good);
+        publish(fact_kind::exposure_spent, subject(bad_outcomes), report.seen.bad);
+        publish(fact_kind::exposure_spent, subject(remaining_callers), report.left);
     }
 }
 
-void routing_duty::poll_hosts()
+void routing_worker::poll_hosts()
 {
     adapters::fetch_host_list(this->client, this->settings.host_list_url,
                               [this](const auto& listed) {
                                   if (!listed) {
                                       return;
                                   }
-                                  hosts_listed news;
+                                  hosts_listed event;
                                   for (const auto& host : *listed) {
-                                      news.hosts.push_back(to_endpoint(host));
+                                      event.hosts.push_back(to_endpoint(host));
                                   }
-                                  this->submit(std::move(news));
+                                  this->submit(std::move(event));
                               });
 }
 
 // Engines give load reports. A plain service has its own paths: asking it would be a call of it.
-bool routing_duty::gives_load_reports(const decision::endpoint_host& host) const
+bool routing_worker::gives_load_reports(const decision::endpoint_host& host) const
 {
     const auto& current = this->dispatcher.current();
     if (!current) {
@@ -448,7 +449,7 @@
     });
 }
 
-void routing_duty::poll_loads()
+void routing_worker::poll_loads()
 {
     for (const auto& address : this->dispatcher.endpoints().used_addresses(now())) {
         const auto host = this->dispatcher.endpoints().find(address);
@@ -468,7 +469,7 @@
     }
 }
 
-void routing_duty::publish_view()
+void routing_worker::publish_view()
 {
     routing_view fresh;
     fresh.endpoints = this->dispatcher.endpoints().status(now());
--- a/router/src/routing_worker.hpp
+++ b/router/src/routing_worker.hpp
@@ -29,14 +29,15 @@
 
 // The thread that feeds the dispatcher with events and carries out its actions. It also keeps the
 // dispatcher's view of the endpoints fresh from the host list and from load reports.
-class routing_duty : public routing_sink {
+class routing_worker : public routing_sink {
 public:
     // All references must outlive the duty.
-    routing_duty(const router_settings& chosen, adapters::http_client& http_client,
-                 fleet_sink& fleet_events, adapters::metrics& process_metrics, std::uint64_t seed);
-    ~routing_duty() override;
-    routing_duty(const routing_duty&) = delete;
-    routing_duty& operator=(const routing_duty&) = delete;
+    routing_worker(const router_settings& chosen, adapters::http_client& http_client,
+                   fleet_sink& fleet_events, adapters::metrics& process_metrics,
+                   std::uint64_t seed);
+    ~routing_worker() override;
+    routing_worker(const routing_worker&) = delete;
+    routing_worker& operator=(const routing_worker&) = delete;
 
     void start();
     void stop();
@@ -50,14 +51,14 @@
     [[nodiscard]] std::uint64_t revision() const { return this->revision_in_force.load(); }
 
 private:
-    struct request_note {
+    struct request_record {
         exchange_ptr caller;
         engine_run_ptr run;
         attempt_ended last;
         double cost_per_token = 0.0;
     };
 
-    struct told_rollout {
+    struct reported_rollout {
         decision::rollout_report report;
         decision::instant at;
     };
@@ -68,13 +69,13 @@
     void handle(attempt_ended& ended);
     void handle(caller_gone& event);
     void handle(configuration_changed& event);
-    void handle(touch_changed& event);
+    void handle(config_validity_changed& event);
     void handle(hosts_listed& event);
     void handle(load_reported& event);
-    void handle(leaving_told& event);
-    void handle(standing_told& event);
+    void handle(endpoint_leaving_reported& event);
+    void handle(suspect_status_reported& event);
     void handle(fleet_changed& event);
-    void handle(trip_told& event);
+    void handle(version_trip_reported& event);
     void handle(drain_begun& event);
     void carry_out();
     void carry_out(const decision::start_attempt& action);
@@ -84,13 +85,13 @@
     void carry_out(const decision::give_up_request& action);
     void carry_out(const decision::announce_leaving& action);
     void carry_out(const decision::announce_standing& action);
-    void start_engine(request_note& note, const decision::start_attempt& action);
-    void start_service(request_note& note, const decision::start_attempt& action);
-    [[nodiscard]] coordination::bill make_bill(const request_note& note,
+    void start_engine(request_record& record, const decision::start_attempt& action);
+    void start_service(request_record& record, const decision::start_attempt& action);
+    [[nodiscard]] coordination::bill make_bill(const request_record& record,
                                                const decision::complete_request& action) const;
     void poll_when_due();
-    void tell_rollouts();
-    void tell_rollout(const decision::rollout_report& report);
+    void report_rollouts();
+    void report_rollout(const decision::rollout_report& report);
     void poll_hosts();
     void poll_loads();
     [[nodiscard]] bool gives_load_reports(const decision::endpoint_host& host) const;
@@ -102,13 +103,13 @@
     adapters::metrics& counts;
     decision::dispatcher dispatcher;
     adapters::bounded_ring<routing_event> ring;
-    std::unordered_map<decision::ticket_number, request_note> notes;
+    std::unordered_map<decision::ticket_number, request_record> records;
     decision::instant next_tick;
     decision::instant next_hosts;
     decision::instant next_loads;
     decision::instant next_view;
     decision::instant next_rollouts;
-    std::map<std::string, told_rollout> told_rollouts;
+    std::map<std::string, reported_rollout> reported_rollouts;
     mutable std::mutex view_mutex;
     routing_view latest_view;
     std::atomic<std::uint64_t> revision_in_force{0};
--- a/router/src/service_attempt.cpp
+++ b/router/src/service_attempt.cpp
@@ -17,7 +17,7 @@
         return field.first == "x-not-run" && field.second == "true";
     });
     if (!this->not_run) {
-        this->head_passed = true;
+        this->head_forwarded = true;
         this->caller->push(service_head{status, headers});
     }
 }
@@ -61,7 +61,7 @@
     ended.end.ticket = this->caller->ticket;
     ended.end.attempt = this->attempt;
     ended.end.result = this->judge(result);
-    ended.end.tokens = this->head_passed ? 1 : 0;
+    ended.end.tokens = this->head_forwarded ? 1 : 0;
     this->sink.submit(std::move(ended));
 }
 
--- a/router/src/service_attempt.hpp
+++ b/router/src/service_attempt.hpp
@@ -28,7 +28,7 @@
     exchange_ptr caller;
     decision::attempt_number attempt;
     bool not_run = false;
-    bool head_passed = false;
+    bool head_forwarded = false;
 };
 
 } // namespace pearhaven::router
--- a/router/src/settings.cpp
+++ b/router/src/settings.cpp
@@ -44,12 +44,12 @@
 
 namespace {
 
-constexpr std::size_t shortest_key = 16;
+constexpr std::size_t min_key_length = 16;
 
 // A router that is paused stops taking work 3 s after its last confirmation, counted by its own
 // clock; its membership must not lapse before that, since an operator's command then waits for it
 // no longer.
-constexpr long shortest_member_lease = 5000;
+constexpr long min_member_lease_ms = 5000;
 
 std::string trimmed(std::string text)
 {
@@ -121,9 +121,9 @@
 
 void check_key(const std::string& value, const char* name, std::vector<std::string>& faults)
 {
-    if (value.size() < shortest_key) {
+    if (value.size() < min_key_length) {
         faults.push_back(std::string(name) + ": found " + std::to_string(value.size()) +
-                         " bytes, allowed " + std::to_string(shortest_key) + " or more");
+                         " bytes, allowed " + std::to_string(min_key_length) + " or more");
     }
 }
 
@@ -142,7 +142,7 @@
     return std::chrono::milliseconds(value);
 }
 
-void take_durations(router_settings& settings)
+void read_durations(router_settings& settings)
 {
     settings.caller_read_timeout = to_ms(FLAGS_caller_read_timeout_ms);
     settings.default_deadline = to_ms(FLAGS_default_deadline_ms);
@@ -181,8 +181,8 @@
     check_range<long>(settings.store_timeout.count(), 50, 60000, "store_timeout_ms", faults);
     check_range<long>(settings.host_list_period.count(), 50, 60000, "host_list_period_ms", faults);
     check_range<long>(settings.load_period.count(), 50, 60000, "load_period_ms", faults);
-    check_range<long>(settings.member_lease.count(), shortest_member_lease, 600000,
-                      "member_lease_ms", faults);
+    check_range<long>(settings.member_lease.count(), min_member_lease_ms, 600000, "member_lease_ms",
+                      faults);
     check_range<long>(settings.default_deadline.count(), 1, settings.longest_deadline.count(),
                       "default_deadline_ms", faults);
     return faults;
@@ -228,7 +228,7 @@
     if (FLAGS_log_format != "json" && FLAGS_log_format != "text") {
         faults.push_back("log_format: found \"" + FLAGS_log_format + "\", allowed text or json");
     }
-    take_durations(settings);
+    read_durations(settings);
     const auto checked = check_settings(settings);
     faults.insert(faults.end(), checked.begin(), checked.end());
     return parsed;
--- a/router/src/sse_reader.cpp
+++ b/router/src/sse_reader.cpp
@@ -17,10 +17,10 @@
             return events;
         }
         if (this->line_start.empty()) {
-            this->take_line(part, events);
+            this->process_line(part, events);
         } else {
             this->line_start.append(part);
-            this->take_line(this->line_start, events);
+            this->process_line(this->line_start, events);
             this->line_start.clear();
         }
         piece.remove_prefix(end + 1);
@@ -28,7 +28,7 @@
     return events;
 }
 
-void sse_reader::take_line(std::string_view line, std::vector<std::string>& events)
+void sse_reader::process_line(std::string_view line, std::vector<std::string>& events)
 {
     constexpr std::string_view field = "data:";
     if (!line.empty() && line.back() == '\r') {
--- a/router/src/sse_reader.hpp
+++ b/router/src/sse_reader.hpp
@@ -21,7 +21,7 @@
     [[nodiscard]] bool is_overflowing() const { return this->overflow; }
 
 private:
-    void take_line(std::string_view line, std::vector<std::string>& events);
+    void process_line(std::string_view line, std::vector<std::string>& events);
 
     std::string line_start; // a line whose end has not come yet
     std::string data;
--- a/router/test/caller_request_test.cpp
+++ b/router/test/caller_request_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(caller_request_test){
     static std::string fault_of(const std::string& body){const auto read = read_chat(body);
-const auto* fault = std::get_if<failure_form>(&read);
+const auto* fault = std::get_if<error_response>(&read);
 return fault == nullptr ? "" : fault->body;
 }
 
@@ -26,7 +26,7 @@
     const auto read = read_chat(R"({"model":"m","stream":true,"max_tokens":9,"temperature":0.5,
         "messages":[{"role":"user","content":"hello"}]})");
     const auto& chat = std::get<chat_body>(read);
-    CHECK_EQUAL(std::string("m"), chat.asked);
+    CHECK_EQUAL(std::string("m"), chat.requested_model);
     CHECK_TRUE(chat.streamed);
     LONGS_EQUAL(9, chat.max_tokens);
     CHECK_EQUAL(std::string("hello\n"), chat.prompt);
--- a/router/test/engine_attempt_test.cpp
+++ b/router/test/engine_attempt_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-class kept_events : public routing_sink {
+class recording_sink : public routing_sink {
 public:
     bool submit(routing_event event) override
     {
@@ -59,7 +59,7 @@
 
 TEST_GROUP(engine_attempt_test)
 {
-    kept_events sink;
+    recording_sink sink;
     exchange_ptr caller{new exchange};
     engine_run_ptr run{new engine_run("run-1", "adjudicator-1")};
 
--- a/router/test/event_relay_test.cpp
+++ b/router/test/event_relay_test.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 // The first line of the log makes its writer, which stays: made here, it is no test's leak.
-const bool log_is_made = [] {
+const bool log_is_created = [] {
     adapters::log_change("event_relay_tests", {});
     return true;
 }();
@@ -36,17 +36,17 @@
     read(const adapters::inbound_exchange& caller,
          const decision::configuration* /*current*/) const override
     {
-        this->come("read");
+        this->on_call("read");
         if (caller.head().target == "/nowhere") {
             return local_answer{404, {}, "nowhere"};
         }
-        auto made = this->form;
+        auto made = this->prototype;
         made.work.team = "deposits";
         made.work.asked = "model";
         made.work.idempotent = decision::may_run_again(made.kind);
         made.work.streamed = decision::is_streamed(made.kind);
         made.work.work = {decision::work_class::lookup, 100.0};
-        made.work.deadline = caller.arrived() + this->patience;
+        made.work.deadline = caller.arrived() + this->time_limit;
         made.work.max_attempts = 2;
         made.work.sizes = static_cast<std::uint32_t>(made.models.size());
         made.work.on_loss = decision::continuation::at_other_run;
@@ -60,7 +60,7 @@
                                      const routed_request& /*request*/,
                                      const attempt_terms& terms) const override
     {
-        this->come(terms.last_event > 0 ? "write again" : "write");
+        this->on_call(terms.last_event > 0 ? "write again" : "write");
         adapters::outbound_request sent;
         sent.target = caller.head().target;
         sent.fields = {{"Host", "h"}, {"After", std::to_string(terms.last_event)}};
@@ -70,7 +70,7 @@
     answer_facts judge(const routed_request& /*request*/,
                        const adapters::http_response_head& head) const override
     {
-        this->come("judge");
+        this->on_call("judge");
         answer_facts facts;
         facts.meaning = head.status == 200   ? answer_meaning::success
                         : head.status == 503 ? answer_meaning::refused
@@ -81,31 +81,31 @@
 
     adapters::http_fields pass_on(const adapters::http_response_head& /*head*/) const override
     {
-        this->come("pass on");
+        this->on_call("pass on");
         return {};
     }
 
     local_answer refuse(const routed_request& /*request*/,
                         const decision::failure& why) const override
     {
-        this->come("refuse");
+        this->on_call("refuse");
         const bool has_not_run = why.run == decision::run_state::not_run;
         return {503, {}, has_not_run ? "refused, not run" : "refused, may have run"};
     }
 
-    routed_request form;
-    decision::duration patience = seconds(30);
+    routed_request prototype;
+    decision::duration time_limit = seconds(30);
     decision::duration objective{};
-    std::string at; // where `act` is called
-    std::function<void()> act;
-    mutable int acted = 0;
+    std::string hook_point; // where `act` is called
+    std::function<void()> hook;
+    mutable int hook_calls = 0;
 
 private:
-    void come(const std::string& where) const
+    void on_call(const std::string& where) const
     {
-        if (this->act && where == this->at) {
-            ++this->acted;
-            this->act();
+        if (this->hook && where == this->hook_point) {
+            ++this->hook_calls;
+            this->hook();
         }
     }
 };
@@ -139,7 +139,7 @@
     return "GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n";
 }
 
-std::string whole(const std::string& body, const std::string& field = "")
+std::string complete_answer(const std::string& body, const std::string& field = "")
 {
     return "HTTP/1.1 200 OK\r\n" + field + "Content-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + body;
@@ -191,7 +191,7 @@
 
     void setup() override
     {
-        CHECK_TRUE(log_is_made);
+        CHECK_TRUE(log_is_created);
         decision::dispatcher_settings chosen;
         chosen.endpoints.zone = "osu";
         chosen.max_refusals = 1;
@@ -205,7 +205,7 @@
         this->dispatcher->on_configuration(make_configuration(), now);
         this->dispatcher->on_hosts(this->hosts(), now);
         this->dispatcher->on_touch(decision::instant::max(), now);
-        this->dialect.form.kind = work_kind::resumable_stream;
+        this->dialect.prototype.kind = work_kind::resumable_stream;
     }
 
     // With the settings that the test has chosen.
@@ -220,7 +220,7 @@
     void teardown() override
     {
         this->script.reset();
-        this->dialect.act = nullptr;
+        this->dialect.hook = nullptr;
         this->callers.reset();
         this->relay.reset();
         this->client.reset();
@@ -246,11 +246,11 @@
     {
         for (const auto& one : this->endpoints) {
             for (const auto& connection : one->connections()) {
-                auto* brought = connection.get();
+                auto* candidate = connection.get();
                 const bool known =
-                    std::find(this->runs.begin(), this->runs.end(), brought) != this->runs.end();
+                    std::find(this->runs.begin(), this->runs.end(), candidate) != this->runs.end();
                 if (!known && connection->has("\r\n\r\n")) {
-                    this->runs.push_back(brought);
+                    this->runs.push_back(candidate);
                 }
             }
         }
@@ -263,13 +263,13 @@
     }
 
     // Whether the first run's bytes have stopped leaving.
-    std::function<bool()> is_stuck()
+    std::function<bool()> is_blocked()
     {
-        return [this, last = std::size_t{0}, looks = 0]() mutable {
+        return [this, last = std::size_t{0}, checks = 0]() mutable {
             const auto left = this->run_at(0)->flush();
-            looks = left == last ? looks + 1 : 0;
+            checks = left == last ? checks + 1 : 0;
             last = left;
-            return looks > 20;
+            return checks > 20;
         };
     }
 
@@ -300,8 +300,8 @@
     // The caller resets right before the relay sends what follows on `place`.
     void reset_at(const std::string& place)
     {
-        this->dialect.at = place;
-        this->dialect.act = [this] { this->caller->reset(); };
+        this->dialect.hook_point = place;
+        this->dialect.hook = [this] { this->caller->reset(); };
     }
 
     loop_script& begin()
@@ -325,14 +325,14 @@
         steps
             .when([] { return true; },
                   [this] {
-                      this->dialect.act = nullptr;
-                      this->dialect.form = {};
-                      this->dialect.form.kind = work_kind::idempotent;
+                      this->dialect.hook = nullptr;
+                      this->dialect.prototype = {};
+                      this->dialect.prototype.kind = work_kind::idempotent;
                       this->next_caller = script_socket::connect(this->callers->port());
                       this->next_caller->send(request("/next"));
                   })
-            .when([this] { return this->next_run() != nullptr; },
-                  [this] { this->next_run()->send(whole("served")); })
+            .when([this] { return this->next_caller_run() != nullptr; },
+                  [this] { this->next_caller_run()->send(complete_answer("served")); })
             .until([this] { return this->next_caller->has("served"); });
         CHECK_TRUE(steps.run());
         CHECK_EQUAL(0, this->relay->in_flight());
@@ -356,7 +356,7 @@
     }
 
     // The connection on which the request of the next caller came.
-    script_socket* next_run()
+    script_socket* next_caller_run()
     {
         for (const auto& one : this->endpoints) {
             for (auto& connection : one->connections()) {
@@ -407,7 +407,7 @@
 {
     this->reset_at("write");
     this->begin();
-    this->script->until([this] { return this->dialect.acted > 0; });
+    this->script->until([this] { return this->dialect.hook_calls > 0; });
     this->finish();
 }
 
@@ -419,9 +419,10 @@
 
 TEST(event_relay, a_reset_is_met_by_a_plain_answer)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
-    this->begin().when(this->has_run(0), [this] { this->run_at(0)->send(whole("answer")); });
+    this->begin().when(this->has_run(0),
+                       [this] { this->run_at(0)->send(complete_answer("answer")); });
     this->finish(false);
 }
 
@@ -487,7 +488,7 @@
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
         .when(this->caller_has("id: 1"), [this] { this->run_at(0)->reset(); })
-        .until([this] { return this->dialect.acted > 0; });
+        .until([this] { return this->dialect.hook_calls > 0; });
     this->finish(false);
 }
 
@@ -516,11 +517,11 @@
 
 TEST(event_relay, a_reset_is_met_by_the_refusal_after_the_endpoints_have_refused)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("refuse");
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(refusal); })
-        .when([this] { return this->has_run(1)() || this->dialect.acted > 0; },
+        .when([this] { return this->has_run(1)() || this->dialect.hook_calls > 0; },
               [this] {
                   if (this->run_at(1) != nullptr) {
                       this->run_at(1)->send(refusal);
@@ -531,7 +532,7 @@
 
 TEST(event_relay, a_reset_is_met_by_an_endpoints_own_failure)
 {
-    this->dialect.form.kind = work_kind::at_most_once;
+    this->dialect.prototype.kind = work_kind::at_most_once;
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
         this->run_at(0)->send("HTTP/1.1 500 X\r\nContent-Length: 3\r\n\r\nbad");
@@ -543,23 +544,23 @@
 // run is dropped from within the call that brings its head.
 TEST(event_relay, a_reset_while_a_larger_model_is_asked_ends_that_run)
 {
-    this->dialect.form.kind = work_kind::idempotent;
-    this->dialect.form.models = {"small", "large"};
+    this->dialect.prototype.kind = work_kind::idempotent;
+    this->dialect.prototype.models = {"small", "large"};
     this->begin()
         .when(this->has_run(0),
               [this] {
                   this->reset_at("write");
-                  this->run_at(0)->send(whole("doubted", "Poor: yes\r\n"));
+                  this->run_at(0)->send(complete_answer("doubted", "Poor: yes\r\n"));
               })
-        .until([this] { return this->dialect.acted > 0; });
+        .until([this] { return this->dialect.hook_calls > 0; });
     this->finish(false);
 }
 
 // A plain answer too long to be held breaks off in the middle, and its caller has left.
 TEST(event_relay, a_reset_is_met_by_the_cut_of_a_long_plain_answer)
 {
-    this->settings.most_held = 4;
-    this->dialect.form.kind = work_kind::idempotent;
+    this->settings.max_buffered = 4;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
         this->run_at(0)->send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\na long beginning");
@@ -571,34 +572,35 @@
 // The endpoint is silent past its time; the caller leaves while another one is asked.
 TEST(event_relay, a_reset_after_an_endpoints_silence_ends_the_next_run)
 {
-    this->settings.least_patience = milliseconds(5);
-    this->settings.sign_of_life = milliseconds(0);
+    this->settings.min_answer_timeout = milliseconds(5);
+    this->settings.liveness_window = milliseconds(0);
     this->dialect.objective = milliseconds(10);
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->begin().when(this->has_run(0), [this] { this->reset_at("write"); }).until([this] {
-        return this->dialect.acted > 0;
+        return this->dialect.hook_calls > 0;
     });
     this->finish(false);
 }
 
 TEST(event_relay, a_reset_is_met_by_the_refusal_at_a_deadline)
 {
-    this->dialect.patience = milliseconds(30);
+    this->dialect.time_limit = milliseconds(30);
     this->reset_at("refuse");
     this->begin().until(this->has_run(0)).until([this] {
         this->relay->tick();
-        return this->dialect.acted > 0;
+        return this->dialect.hook_calls > 0;
     });
     this->finish(false);
 }
 
 TEST(event_relay, a_reset_with_a_pipelined_request_ends_both)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
     this->open();
     this->caller->send(request() + request("/b"));
-    this->script->when(this->has_run(0), [this] { this->run_at(0)->send(whole("answer")); });
+    this->script->when(this->has_run(0),
+                       [this] { this->run_at(0)->send(complete_answer("answer")); });
     this->finish(false);
 }
 
@@ -606,10 +608,11 @@
 // makes room for it.
 TEST(event_relay, pipelined_requests_are_answered_in_order)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->open();
     this->caller->send(request() + request("/nowhere"));
-    this->script->when(this->has_run(0), [this] { this->run_at(0)->send(whole("answer")); })
+    this->script
+        ->when(this->has_run(0), [this] { this->run_at(0)->send(complete_answer("answer")); })
         .when(this->caller_has("nowhere"), [this] {
             CHECK_TRUE(this->caller->received().find("answer") <
                        this->caller->received().find("nowhere"));
@@ -622,7 +625,7 @@
 // the run is given up like one that broke off, and another endpoint goes on.
 TEST(event_relay, an_event_without_an_end_does_not_fill_the_memory)
 {
-    this->settings.most_event = 1000;
+    this->settings.max_event_size = 1000;
     this->begin()
         .when(this->has_run(0),
               [this] {
@@ -639,10 +642,10 @@
 // The caller takes nothing until its endpoint is no longer read. Then it takes all.
 TEST(event_relay, a_slow_caller_gets_the_whole_stream)
 {
-    this->settings.most_unsent = 1;
+    this->settings.max_unsent = 1;
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(long_stream() + stream_end()); })
-        .until(this->is_stuck())
+        .until(this->is_blocked())
         .when(
             [this] {
                 this->run_at(0)->flush();
@@ -654,10 +657,10 @@
 
 TEST(event_relay, a_reset_while_the_endpoint_is_not_read_ends_the_run)
 {
-    this->settings.most_unsent = 1;
+    this->settings.max_unsent = 1;
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(long_stream()); })
-        .when(this->is_stuck(), [this] { this->caller->reset(); });
+        .when(this->is_blocked(), [this] { this->caller->reset(); });
     this->finish();
 }
 
@@ -665,7 +668,7 @@
 // that it may have run, once; the next caller is served by the same router.
 TEST(event_relay, a_request_lost_when_its_team_is_gone_is_refused)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->begin()
         .when(this->has_run(0),
               [this] {
@@ -680,7 +683,7 @@
 // The endpoint answers, though badly, and its team is gone. The caller gets the endpoint's answer.
 TEST(event_relay, an_endpoints_own_failure_is_passed_on_when_its_team_is_gone)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->begin()
         .when(this->has_run(0),
               [this] {
@@ -695,13 +698,13 @@
 // gets the answer that there is.
 TEST(event_relay, a_doubted_answer_is_passed_on_when_its_team_is_gone)
 {
-    this->dialect.form.kind = work_kind::idempotent;
-    this->dialect.form.models = {"small", "large"};
+    this->dialect.prototype.kind = work_kind::idempotent;
+    this->dialect.prototype.models = {"small", "large"};
     this->begin()
         .when(this->has_run(0),
               [this] {
                   this->remove_team();
-                  this->run_at(0)->send(whole("doubted", "Poor: yes\r\n"));
+                  this->run_at(0)->send(complete_answer("doubted", "Poor: yes\r\n"));
               })
         .when(this->caller_has("doubted"), [this] { this->leave(); });
     this->finish(false);
@@ -764,7 +767,7 @@
     this->open();
     this->caller->send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nhalf");
     this->script
-        ->when([looks = 0]() mutable { return ++looks > 20; },
+        ->when([checks = 0]() mutable { return ++checks > 20; },
                [this] {
                    adapters::inbound_limits lower;
                    lower.body_bytes = 4;
--- a/router/test/exchange_test.cpp
+++ b/router/test/exchange_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-class no_events : public routing_sink {
+class discarding_sink : public routing_sink {
 public:
     bool submit(routing_event /*event*/) override { return true; }
     bool offer(routing_event& /*event*/) override { return true; }
@@ -24,7 +24,7 @@
 
 TEST_GROUP(exchange_test)
 {
-    no_events sink;
+    discarding_sink sink;
     exchange_ptr caller{new exchange};
 
     void teardown() override
@@ -40,18 +40,18 @@
     }
 
     // The piece waits for the caller, and is taken once when the caller has taken something.
-    void check_that_it_waits(pearhaven::adapters::http_listener & attempt, const std::string& piece)
+    void check_backpressure(pearhaven::adapters::http_listener & attempt, const std::string& piece)
     {
         this->fill();
-        const auto held = this->caller->events.size();
+        const auto size_before = this->caller->events.size();
         CHECK_FALSE(attempt.on_body(piece));
         CHECK_TRUE(this->caller->paused.load());
-        CHECK_EQUAL(held, this->caller->events.size());
+        CHECK_EQUAL(size_before, this->caller->events.size());
         static_cast<void>(this->caller->events.pop_for(std::chrono::seconds(0)));
         this->caller->paused.store(false); // by the caller's thread, which resumes the transfer
         CHECK_TRUE(attempt.on_body(piece));
         CHECK_FALSE(this->caller->paused.load());
-        CHECK_EQUAL(held, this->caller->events.size());
+        CHECK_EQUAL(size_before, this->caller->events.size());
     }
 };
 
@@ -62,7 +62,7 @@
     const boost::intrusive_ptr<engine_attempt> attempt(
         new engine_attempt(this->sink, this->caller, new engine_run("run-1", "m"), 1, false));
     attempt->on_head(200, {});
-    check_that_it_waits(*attempt, token);
+    check_backpressure(*attempt, token);
 }
 
 TEST(exchange_test, a_services_piece_waits_where_the_caller_has_no_room)
@@ -70,5 +70,5 @@
     const boost::intrusive_ptr<service_attempt> attempt(
         new service_attempt(this->sink, this->caller, 1));
     attempt->on_head(200, {});
-    check_that_it_waits(*attempt, "piece");
+    check_backpressure(*attempt, "piece");
 }
--- a/router/test/parser_fuzz_test.cpp
+++ b/router/test/parser_fuzz_test.cpp
@@ -115,13 +115,13 @@
             "incarnation":3})"};
     CHECK_TRUE(read_engine_event(examples[0])->content == "x");
     CHECK_TRUE(read_engine_event(examples[1])->closes);
-    CHECK_TRUE(says_leaving(examples[2]));
+    CHECK_TRUE(is_draining_error(examples[2]));
     CHECK_TRUE(read_load(examples[3], 1).has_value());
     const auto wrong = first_fault(examples, 1'000, [](const std::string& bytes, byte_mutator&) {
         engine_run run("r", "m");
         std::vector<std::string> told;
         const bool taken = run.take(bytes, told);
-        static_cast<void>(says_leaving(bytes));
+        static_cast<void>(is_draining_error(bytes));
         const auto load = read_load(bytes, 1);
         return (taken || told.empty()) && (!load || load->running >= 0.0);
     });
--- a/router/test/request_claim_test.cpp
+++ b/router/test/request_claim_test.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr pearhaven::coordination::claim_number number = 7;
-constexpr std::chrono::milliseconds patience{1};
+constexpr std::chrono::milliseconds timeout{1};
 
-class kept_events : public fleet_sink {
+class recording_sink : public fleet_sink {
 public:
     bool submit(fleet_event event) override
     {
@@ -37,15 +37,15 @@
 
 TEST_GROUP(request_claim)
 {
-    kept_events fleet;
+    recording_sink fleet;
 };
 
 TEST(request_claim, a_granted_claim_is_told_how_the_request_ended)
 {
     const exchange_ptr request(new exchange);
     request->push(granted());
-    request_claim claim(this->fleet, request, patience);
-    CHECK_FALSE(claim.take("key").has_value());
+    request_claim claim(this->fleet, request, timeout);
+    CHECK_FALSE(claim.acquire("key").has_value());
     claim.settle(run_state::ran, "whole");
     const auto& settled = std::get<claim_settled>(this->fleet.events.at(1));
     CHECK_TRUE(settled.claim == number);
@@ -55,10 +55,10 @@
 TEST(request_claim, a_claim_that_is_not_decided_in_time_is_refused_as_not_run)
 {
     const exchange_ptr request(new exchange);
-    request_claim claim(this->fleet, request, patience);
-    const auto refused = claim.take("key");
+    request_claim claim(this->fleet, request, timeout);
+    const auto refused = claim.acquire("key");
     CHECK_TRUE(refused.has_value() && refused->run == run_state::not_run);
-    CHECK_TRUE(request->claim_dropped.load());
+    CHECK_TRUE(request->claim_abandoned.load());
 }
 
 // A paused router wakes after the caller's thread has lost patience, and the claim is granted at
@@ -72,13 +72,13 @@
         const exchange_ptr request(new exchange);
         bool closed = false;
         std::thread fleet_thread([&] {
-            while (!request->claim_dropped.load()) {
+            while (!request->claim_abandoned.load()) {
             }
             request->push(granted());
-            closed = request->claim_dropped.load();
+            closed = request->claim_abandoned.load();
         });
-        request_claim claim(this->fleet, request, patience);
-        const bool taken = !claim.take("key").has_value();
+        request_claim claim(this->fleet, request, timeout);
+        const bool taken = !claim.acquire("key").has_value();
         fleet_thread.join();
         taken_after_close += taken && closed ? 1 : 0;
     }
