--- a/router/include/pearhaven/router/caller_dialect.hpp
+++ b/router/include/pearhaven/router/caller_dialect.hpp
@@ -13,20 +13,21 @@
 
 namespace pearhaven::router {
 
-// A request that the configuration allows, as its dialect understands it.
+// A request that the configuration allows, as parsed by the dialect.
 struct routed_request {
-    decision::arrival work; // its ticket is given by the relay
-    std::string id;         // as the caller named it; endpoints echo it
+    decision::arrival work; // the relay assigns its ticket
+    std::string id;         // as sent by the caller; endpoints echo it
     std::string route;      // name
     decision::work_kind kind = decision::work_kind::at_most_once;
-    std::uint64_t last_event = 0;       // of a stream, the last event that the caller has; 0: none
-    std::vector<std::string> models;    // smallest first; empty: the request names its own
-    decision::duration longest_pause{}; // between two events of a stream; zero: no bound
+    std::uint64_t last_event = 0;    // last event of the stream that the caller received; 0: none
+    std::vector<std::string> models; // smallest first; empty: the request names its own model
+    decision::duration
+        longest_pause{}; // maximum gap between two events of a stream; zero: no limit
 
     friend bool operator==(const routed_request&, const routed_request&) = default;
 };
 
-// An answer that this router gives by itself.
+// An answer that the router generates itself, without asking an endpoint.
 struct local_answer {
     int status = 0;
     adapters::http_fields fields;
@@ -35,35 +36,35 @@
     friend bool operator==(const local_answer&, const local_answer&) = default;
 };
 
-// What the relay knows of one attempt beyond the request itself.
+// Parameters of one attempt that are not part of the request itself.
 struct attempt_terms {
     decision::endpoint_host endpoint;
-    std::string model;              // empty: as the request says
+    std::string model;              // empty: as named in the request
     decision::duration time_left{}; // until the request's deadline
-    std::uint64_t last_event = 0;   // the stream is to go on after this event; 0: from its start
+    std::uint64_t last_event = 0;   // resume the stream after this event; 0: from its start
 
     friend bool operator==(const attempt_terms&, const attempt_terms&) = default;
 };
 
 enum class answer_meaning : std::uint8_t {
     success,
-    endpoint_error,        // it ran and failed, or may have run
-    refused,               // it has not run: no room
-    refused_leaving,       // it has not run: the endpoint takes no more work
-    refused_other_process, // it has not run: another process has the address now
-    of_other_request,      // an answer to an earlier request on the connection
+    endpoint_error,        // the request ran and failed, or may have run
+    refused,               // not run: the endpoint has no capacity
+    refused_leaving,       // not run: the endpoint is draining
+    refused_other_process, // not run: another process has taken over the address
+    of_other_request,      // a stale answer to an earlier request on the connection
 };
 
 struct answer_facts {
     answer_meaning meaning = answer_meaning::endpoint_error;
-    double confidence = 100.0; // the model's opinion of its answer, 0 to 100
+    double confidence = 100.0; // the model's confidence in its answer, 0 to 100
 
     friend bool operator==(const answer_facts&, const answer_facts&) = default;
 };
 
-// How callers and endpoints of one installation speak: names of fields, statuses, who may call
-// what. All that decides, waits or repeats is the relay's and the dispatcher's. Functions are pure
-// but for what they are given.
+// The HTTP conventions of one installation: names of fields, statuses, and who may call what.
+// Deadlines, waiting and retries are up to the relay and the dispatcher. Functions depend on their
+// arguments only and have no side effects.
 class caller_dialect {
 public:
     virtual ~caller_dialect() = default;
@@ -73,7 +74,7 @@
     read(const adapters::inbound_exchange& caller,
          const decision::configuration* current) const = 0;
 
-    // The request's id as the caller named it, for the log; empty where it names none.
+    // The request's id as sent by the caller, for the log; empty if there is none.
     [[nodiscard]] virtual std::string name_of(const adapters::inbound_exchange& caller) const = 0;
 
     [[nodiscard]] virtual adapters::outbound_request write(const adapters::inbound_exchange& caller,
@@ -83,7 +84,7 @@
     [[nodiscard]] virtual answer_facts judge(const routed_request& request,
                                              const adapters::http_response_head& head) const = 0;
 
-    // The fields of an endpoint's answer that its caller gets.
+    // The header fields of an endpoint's answer that are forwarded to the caller.
     [[nodiscard]] virtual adapters::http_fields
     pass_on(const adapters::http_response_head& head) const = 0;
 
--- a/router/include/pearhaven/router/event_relay.hpp
+++ b/router/include/pearhaven/router/event_relay.hpp
@@ -15,41 +15,45 @@
 namespace pearhaven::router {
 
 struct event_relay_settings {
-    // Longest time for a connection to an endpoint. Within a region one takes milliseconds; a lost
-    // first packet is sent again only after a second, so waiting longer gains nothing.
+    // Timeout for connecting to an endpoint. Connecting within a region takes milliseconds. A lost
+    // first packet is retransmitted only after a second, so a longer timeout gains nothing.
     decision::duration connect_time = std::chrono::milliseconds(400);
 
-    // Parts of the objective that an endpoint may be silent before its answer, where another one
-    // may be asked instead. A plain answer takes a fifth of its objective, so twice the objective
-    // is an endpoint that hangs. A stream's first piece waits for its prompt to be read.
+    // Time to wait for the start of an answer, as a multiple of the latency objective, when another
+    // endpoint may be asked instead. A plain answer usually takes a fifth of its objective, so an
+    // endpoint that takes twice the objective hangs. The first piece of a stream arrives only after
+    // the prompt has been read.
     double plain_timeout_ratio = 2.0;
     double stream_timeout_ratio = 0.6;
     decision::duration min_answer_timeout = std::chrono::milliseconds(250);
 
-    // Part of the longest pause that a stream may be silent before another endpoint goes on with
-    // it: the rest is for the new run's first piece.
+    // Silence in a stream after which another endpoint resumes it, as a multiple of the longest
+    // allowed pause. The rest is left for the first piece of the new run.
     double pause_timeout_ratio = 1.4;
 
-    // A piece on any connection of an endpoint shows for so long that the endpoint lives.
+    // How long a piece received on any connection of an endpoint counts as proof that the endpoint
+    // is alive.
     decision::duration liveness_window = std::chrono::milliseconds(1500);
 
-    // Waits in a row without a piece after which even an endpoint that lives is given up.
+    // Consecutive timeouts without a piece after which even an endpoint that is alive is given up.
     std::uint32_t max_silences = 3;
 
-    // Of one answer, what its caller has not taken yet; beyond it the endpoint is not read.
+    // Bytes of one answer that the caller has not received yet. Above this the relay stops reading
+    // from the endpoint.
     std::size_t max_unsent = 64U << 10U;
 
-    // Of one event of a stream, whose end has not come. Events hold some pieces of text; one
-    // without an end would fill the memory.
+    // Bytes of an unfinished event of a stream. An event holds a few pieces of text; one that never
+    // ends would exhaust the memory.
     std::size_t max_event_size = 1U << 20U;
 
-    // Of a plain answer, what is kept so that it can be repeated elsewhere if it breaks off.
+    // Bytes of a plain answer that are buffered so that the request can be retried at another
+    // endpoint if the answer breaks off.
     std::size_t max_buffered = 256U << 10U;
 };
 
-// Carries requests between callers and endpoints on one thread: it asks the dispatcher what to do
-// and does it. What a caller gets is always one endpoint's answer whole, a stream joined only at
-// event bounds, or a typed refusal; whatever ends early looks like it.
+// Relays requests between callers and endpoints on one thread, as the dispatcher decides. A caller
+// always gets the complete answer of one endpoint, a stream joined only at event boundaries, or a
+// typed refusal. An answer that ends early is always recognizable as incomplete.
 class event_relay : public adapters::inbound_listener {
 public:
     // All references must outlive the relay.
@@ -64,16 +68,17 @@
     void on_caller_gone(adapters::inbound_exchange& caller) override;
     void on_room(adapters::inbound_exchange& caller) override;
 
-    // Carries out what the dispatcher wants. To be called after each event that it was told
-    // directly.
+    // Executes the dispatcher's pending actions. Call it after each event that was passed to the
+    // dispatcher directly.
     void run_actions();
 
-    // Tells the dispatcher the time. To be called every 50 ms or so while requests are in flight.
+    // Passes the current time to the dispatcher. Call it about every 50 ms while requests are in
+    // flight.
     void tick();
 
     [[nodiscard]] std::size_t in_flight() const;
 
-    // Shared with the exchanges under way, which may outlive the relay.
+    // Shared with the exchanges in flight, which may outlive the relay.
     class state;
 
 private:
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -20,13 +20,13 @@
 using decision::duration;
 using decision::ticket_number;
 
-// Of a broken stream, whose head has gone to the caller.
+// Logged status of a stream that broke off after its head was sent to the caller.
 constexpr int status_ok = 200;
 
-// Endpoints of which the last sign of life is kept.
+// Maximum number of endpoints whose last activity is remembered.
 constexpr std::size_t max_tracked_endpoints = 4096;
 
-// Of a target that a caller chose, what goes into a log line.
+// Bytes of a caller-supplied request target that are logged.
 constexpr std::size_t max_logged_target = 100;
 
 adapters::outbound_target target_of(const decision::endpoint_host& endpoint)
@@ -74,8 +74,8 @@
     return "";
 }
 
-// As all routers name it, so that the requests of one session can be found in their logs together;
-// empty where the request belongs to none.
+// The session's name in log lines. It is the same on all routers, so that a session's requests can
+// be found across their logs. Empty if the request belongs to no session.
 std::string session_name(const decision::arrival& work)
 {
     return work.session_key == 0 ? std::string() : fmt::format("{:016x}", work.session_key);
@@ -87,8 +87,8 @@
            meaning == answer_meaning::refused_other_process;
 }
 
-// When a piece came from an endpoint, and from which of its lives: what the one before said shows
-// nothing of the one that has started since under its name.
+// When an endpoint last sent something, and which incarnation of it. Activity of an earlier
+// incarnation does not show that a restarted endpoint with the same address is alive.
 struct endpoint_activity {
     std::uint64_t incarnation = 0;
     decision::instant at;
@@ -111,7 +111,7 @@
     void caller_gone(adapters::inbound_exchange& caller);
     void room(adapters::inbound_exchange& caller);
 
-    // One attempt's answer. `attempt` tells a late event of an earlier attempt apart.
+    // Events of one attempt's answer. `attempt` identifies late events of an earlier attempt.
     head_verdict on_head(ticket_number ticket, decision::attempt_number attempt,
                          const adapters::http_response_head& head);
     void on_body(ticket_number ticket, decision::attempt_number attempt, std::string_view piece);
@@ -127,8 +127,8 @@
     adapters::metrics& counts;
     event_relay_settings settings;
 
-    // A reference to a request holds over all calls into its caller and into `endpoints`, which
-    // call nothing back. It ends with `run_actions`, and with whatever calls that.
+    // References to a request stay valid across calls into its caller and into `endpoints`, which
+    // never call back. `run_actions`, and whatever calls it, may invalidate them.
     std::unordered_map<ticket_number, relayed_request> requests;
     std::unordered_map<const adapters::inbound_exchange*, ticket_number> tickets;
 
@@ -139,7 +139,7 @@
     void carry_out(const decision::cancel_attempt& action);
     void carry_out(const decision::complete_request& action);
     void carry_out(const decision::give_up_request& action);
-    // For other routers; whoever embeds the relay with peers tells them.
+    // Announcements for other routers. The program that embeds the relay sends them.
     void carry_out(const decision::announce_leaving& /*action*/) {}
     void carry_out(const decision::announce_standing& /*action*/) {}
 
@@ -157,13 +157,14 @@
     void forget(ticket_number ticket);
 
     ticket_number last_ticket = 0;
-    std::unordered_map<std::string, endpoint_activity> last_activity; // by endpoint
+    std::unordered_map<std::string, endpoint_activity> last_activity; // by endpoint address
     bool running = false;
 };
 
 namespace {
 
-// Hands one exchange's events to the relay. It may be called after the relay has ended.
+// Passes the events of one exchange to the relay. It may be called after the relay has been
+// destroyed.
 class attempt_listener final : public adapters::outbound_listener {
 public:
     attempt_listener(boost::intrusive_ptr<event_relay::state> relay_state, ticket_number ticket,
@@ -210,7 +211,8 @@
     this->run_actions();
 }
 
-// Actions may lead to events, and these to more actions: one loop runs them all in order.
+// Actions can trigger events, which produce further actions. The outermost call executes them all
+// in order.
 void event_relay::state::run_actions()
 {
     if (this->running) {
@@ -259,8 +261,8 @@
         new attempt_listener(boost::intrusive_ptr<state>(this), action.ticket, action.attempt));
 }
 
-// An endpoint that says nothing is given up only where another one may be asked: elsewhere a wait
-// can still bring the answer, and giving up cannot.
+// The timeouts for a silent endpoint apply only if another endpoint may be asked. Otherwise waiting
+// may still yield the answer, and giving up cannot.
 void event_relay::state::set_timeouts(const relayed_request& relayed,
                                       adapters::outbound_request& sent) const
 {
@@ -269,11 +271,11 @@
     const bool has_other = decision::may_run_again(request.kind) &&
                            relayed.attempt.number < std::max(request.work.max_attempts, 1U);
     sent.connect_time = std::min(this->settings.connect_time, left);
-    // The dispatcher ends what is past its deadline; these are behind it.
+    // The dispatcher ends requests at their deadline. These later timeouts are a fallback.
     sent.answer_time = left + this->settings.min_answer_timeout;
     sent.progress_time = left + this->settings.min_answer_timeout;
-    // A reused connection may have been closed at the other end a moment ago. What must not run
-    // twice could then not be sent again, although it never arrived.
+    // The endpoint may just have closed a reused connection. A request that must not run twice
+    // could then not be sent again, although it never arrived.
     sent.fresh_connection = !decision::may_run_again(request.kind);
     if (!has_other) {
         return;
@@ -294,7 +296,7 @@
 
 void event_relay::state::carry_out(const decision::resume_attempt& action)
 {
-    // Requests here never ask for it: a run is lost with its connection.
+    // Requests in this relay never resume a run: a run is lost with its connection.
     decision::attempt_end lost;
     lost.ticket = action.ticket;
     lost.attempt = action.attempt;
@@ -436,8 +438,8 @@
     }
 }
 
-// An endpoint that goes on with another one's stream must do so at the next event: one that is
-// repeated is left out, and at a gap the rest of the run is worth nothing.
+// An endpoint that resumes a stream must continue at the next event. Repeated events are skipped.
+// After a gap, the rest of the run is useless.
 void event_relay::state::pass_events(ticket_number ticket, relayed_request& relayed,
                                      std::string_view piece)
 {
@@ -509,9 +511,9 @@
     this->end_attempt(*relayed, end);
 }
 
-// An endpoint that is silent here may be busy with other requests' prompts. It is given up while
-// nothing comes from it on any connection, or once its silence is long even for a busy one; and
-// only for a request that another endpoint may have.
+// An endpoint that is silent on one connection may be busy with other requests' prompts. It is
+// given up if no connection of it shows activity, or if its silence is too long even for a busy
+// endpoint, and only if the request may move to another endpoint.
 bool event_relay::state::on_silence(ticket_number ticket, decision::attempt_number attempt)
 {
     auto* relayed = this->find(ticket, attempt);
@@ -549,7 +551,8 @@
     this->end_attempt(*relayed, end);
 }
 
-// A plain answer too long to be held broke off. What its caller has cannot be taken back.
+// A plain answer that was too long to buffer broke off. The part that the caller has received
+// cannot be taken back, so the caller's connection is closed.
 void event_relay::state::cut_off(ticket_number ticket, relayed_request& relayed)
 {
     this->dispatcher.on_caller_gone(ticket, this->loop.now());
@@ -579,7 +582,7 @@
                               {"after_ms", milliseconds(this->loop.now() - current.started)}});
     }
     if (end.result == attempt_result::went_silent) {
-        // Whatever made this connection silent may have done so to the others.
+        // Other connections to the endpoint may be broken for the same reason.
         this->endpoints.forget(current.endpoint.address);
     }
     if (end.result != attempt_result::finished) {
@@ -589,8 +592,8 @@
     this->run_actions();
 }
 
-// Endpoints come and go for as long as the process runs; what is dropped here is known again with
-// the next piece.
+// Endpoints change during the lifetime of the process. Entries dropped here are recreated by the
+// next piece.
 void event_relay::state::record_activity(relayed_attempt& attempt)
 {
     if (this->last_activity.size() >= max_tracked_endpoints) {
--- a/router/src/relayed_request.hpp
+++ b/router/src/relayed_request.hpp
@@ -11,20 +11,20 @@
 
 namespace pearhaven::router {
 
-// What is done with the answer that an attempt gets.
+// How the answer to an attempt is handled.
 enum class answer_use : std::uint8_t {
-    awaited,   // no head has come
-    discarded, // a refusal, whose body says nothing more
-    buffered,  // gathered, and delivered once it is whole
-    forwarded, // delivered as it comes
+    awaited,   // no head received yet
+    discarded, // a refusal, whose body is not needed
+    buffered,  // collected, and delivered once complete
+    forwarded, // delivered as it arrives
 };
 
-// One attempt of a request, as the relay sees it.
+// The relay's state of one attempt.
 struct relayed_attempt {
-    decision::attempt_number number = 0; // 0: none is under way
+    decision::attempt_number number = 0; // 0: no attempt in flight
     adapters::outbound_number exchange = 0;
     decision::endpoint_host endpoint;
-    std::string target_label; // version, and size of the model where there is a choice, for the log
+    std::string target_label; // version and model size index, for the log
     decision::instant started;
     decision::duration first_token{};
     adapters::http_response_head head;
@@ -32,24 +32,25 @@
     answer_use use = answer_use::awaited;
     std::string buffered;
     event_splitter events;
-    std::uint64_t tokens = 0; // events passed on
+    std::uint64_t tokens = 0; // events forwarded
     pace_meter pace;
-    std::uint32_t silences = 0; // waits in a row that brought nothing
-    bool invalid = false;       // an event that does not follow the one before
+    std::uint32_t silences = 0; // consecutive timeouts without a piece
+    bool invalid = false;       // an event was out of sequence or too large
 };
 
-// A request between its caller and the endpoints.
+// The relay's state of one request.
 struct relayed_request {
     adapters::inbound_exchange_ptr caller;
     routed_request request;
     relayed_attempt attempt;
-    bool began = false;            // a part of the answer has gone to the caller
-    decision::instant first_piece; // when it did
+    bool began = false;            // part of the answer was sent to the caller
+    decision::instant first_piece; // when the answer began
     decision::instant last_piece;
-    decision::duration longest_pause{};        // between two pieces, for the log
-    std::uint64_t last_event = 0;              // that the caller has
-    std::optional<local_answer> failed_answer; // an endpoint's own, should there be no better one
-    std::string history;                       // of attempts, for the log
+    decision::duration longest_pause{}; // between two pieces, for the log
+    std::uint64_t last_event = 0;       // last event sent to the caller
+    std::optional<local_answer>
+        failed_answer;   // an endpoint's error answer, used if no attempt succeeds
+    std::string history; // attempts so far, for the log
 };
 
 } // namespace pearhaven::router
