--- a/router/include/pearhaven/router/peer_messenger.hpp
+++ b/router/include/pearhaven/router/peer_messenger.hpp
@@ -17,23 +17,23 @@
 
 namespace pearhaven::router {
 
-// How a router writes down for the others where it listens, and back; nothing for a text that is
-// not one.
+// Encode and decode the address under which a router registers itself for its peers. Decoding
+// returns nothing for a malformed text.
 [[nodiscard]] std::string write_peer(const coordination::peer_router& where);
 [[nodiscard]] std::optional<coordination::peer_router> read_peer(std::string_view text);
 
 struct peer_messenger_settings {
-    std::string self; // name, under which the others know this router
+    std::string self; // name by which other routers know this router
     coordination::peer_router listen_address;
 
-    // Within which a change of the store has to be heard of.
+    // Maximum delay until a change in the store reaches this router.
     decision::duration max_update_delay = std::chrono::seconds(2);
 };
 
-// Talks with the other routers over the peer link, for an embedder that runs on an event loop: what
-// they hold goes to the dispatcher, what they know of the store into the mirror. The link has a
-// thread of its own, since frames of a slow or hostile peer must not hold up requests; everything
-// else runs on the loop.
+// Exchanges messages with the other routers over the peer link, for a program that runs on an event
+// loop. Load reports go to the dispatcher, store updates into the mirror. The link has a thread of
+// its own, since frames of a slow or hostile peer must not delay requests. Everything else runs on
+// the loop.
 class peer_messenger {
 public:
     struct dependencies {
@@ -41,24 +41,25 @@
         coordination::prefix_mirror& mirror;
         decision::dispatcher& dispatcher;
         adapters::metrics& counts;
-        std::function<void()> on_updates; // the mirror has been told something
+        std::function<void()> on_updates; // called after the mirror was updated
     };
 
-    // What is passed by reference must outlive the desk, and the loop must not run after it.
+    // References must outlive the messenger, and the loop must not run after its destruction.
     peer_messenger(dependencies deps, const peer_messenger_settings& settings);
 
-    // Opens the link. Routers hear only those that hold the same key. Later calls change nothing.
-    // Where the address cannot be listened on, a line says so, and this router goes on without.
+    // Opens the link. Routers accept messages only from routers with the same key. Later calls have
+    // no effect. If the address cannot be listened on, this is logged and the router runs without
+    // peers.
     void open(const std::string& fleet_key);
 
     void set_peer(const std::string& name, const coordination::peer_router& where);
     void drop_peer(const std::string& name);
 
-    // To be called every 50 ms or so.
+    // Call it about every 50 ms.
     void tick();
 
-    // Passes on what the store has told the mirror, where others go by it. To be called after each
-    // answer of the store.
+    // Forwards the store's updates from the mirror to the routers that follow this one. Call it
+    // after each response from the store.
     void forward_updates();
 
 private:
@@ -75,8 +76,8 @@
     coordination::peer_exchange exchange;
     coordination::watch_share share;
     coordination::watch_mode mode = coordination::watch_mode::alone;
-    coordination::store_revision forwarded_revision = 0; // up to where the others have been told
-    decision::instant forwarded_confirmation; // of the store's answer that was passed on last
+    coordination::store_revision forwarded_revision = 0; // last revision sent to the other routers
+    decision::instant forwarded_confirmation; // time of the last store response that was forwarded
     std::unique_ptr<adapters::peer_link> link;
 };
 
--- a/router/include/pearhaven/router/router.hpp
+++ b/router/include/pearhaven/router/router.hpp
@@ -9,10 +9,10 @@
 
 namespace pearhaven::router {
 
-// One running router: all its servers, clients and threads.
+// A running router with all its servers, clients and threads.
 class router {
 public:
-    // Starts everything. Throws std::system_error when a port cannot be listened on.
+    // Starts all servers and threads. Throws std::system_error if a port cannot be listened on.
     explicit router(const router_settings& settings);
     ~router();
     router(const router&) = delete;
@@ -22,10 +22,10 @@
     [[nodiscard]] std::uint16_t operator_port() const;
     [[nodiscard]] std::uint16_t peer_port() const;
 
-    // The planned stop, in steps: not ready any more, so that the balancer sends nothing new; after
-    // a quiet time no new work is taken; requests in flight run to their end and their bills land.
-    // `hurry` is asked now and then: true ends the wait and cuts off what is left.
-    // Returns the number of requests that were cut off.
+    // Stops gracefully: the router first reports that it is not ready, so that the load balancer
+    // sends nothing new. After a quiet period it refuses new work. Requests in flight complete and
+    // their bills are stored. `stop_now` is polled; once it returns true, the remaining requests
+    // are cut off. Returns the number of requests that were cut off.
     std::size_t drain(const std::function<bool()>& stop_now);
 
 private:
--- a/router/src/answer_relay.cpp
+++ b/router/src/answer_relay.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-// While an answer is slow, this is how often a comment shows whether its caller is still there.
+// While an answer is slow, a comment is sent at this interval to detect a disconnected caller.
 constexpr std::chrono::milliseconds keep_alive_period{1000};
 
 constexpr std::string_view end_marker = "data: [DONE]\n\n";
@@ -40,7 +40,7 @@
     }
 }
 
-// Fields that belong to one connection only, or that this router writes itself.
+// False for fields that apply to one connection only or that this router writes itself.
 bool is_forwarded(const std::string& name)
 {
     constexpr std::array<std::string_view, 6> own = {
@@ -77,7 +77,7 @@
     }
 }
 
-// True when this was the last event.
+// Returns true if this was the last event.
 bool answer_relay::take(exchange_event& event, const version_headers& headers_of, relay_end& end)
 {
     const auto visitor = [this, &headers_of, &end](auto& what) {
@@ -99,8 +99,7 @@
             end.caller_gone = !this->on_piece(what);
             return end.caller_gone;
         } else if constexpr (std::is_same_v<event_type, answer_complete>) {
-            // The answer is whole and billed; whether its last bytes still reach the caller changes
-            // nothing of that.
+            // The answer is complete and billed, even if its last bytes do not reach the caller.
             end.completed = true;
             end.outcome = this->outcome();
             static_cast<void>(this->on_complete(what));
@@ -221,8 +220,7 @@
     this->head = std::move(received);
 }
 
-// The router's own fields and the service's; the service's content type, if it has one, goes to
-// `type`.
+// The router's own fields and the service's. `type` is set to the service's content type, if any.
 header_list service_answer::forwarded_fields(std::string& type) const
 {
     header_list fields = this->headers();
@@ -264,8 +262,8 @@
     return send_answer(this->connection(), this->head.status, type, fields, this->buffered);
 }
 
-// The head of the service's answer is out and the rest will not come: an unfinished chunked answer,
-// whose connection is closed, is what tells the caller that it is not whole.
+// The head of the service's answer has been sent and the rest will not come. Closing the connection
+// in the middle of a chunked answer shows the caller that it is incomplete.
 bool service_answer::on_failure_midway(const error_response& /*form*/)
 {
     return false;
--- a/router/src/answer_relay.hpp
+++ b/router/src/answer_relay.hpp
@@ -17,15 +17,15 @@
 struct relay_end {
     bool caller_gone = false;
     bool completed = false;
-    decision::failure why; // where it was neither
+    decision::failure why; // set if neither of the two above
     int status = 0;
     std::string version;
-    std::chrono::microseconds first_piece{}; // since arrival; zero where none came
-    std::string outcome;                     // what a later resend of a claimed request may be told
+    std::chrono::microseconds first_piece{}; // since arrival; zero if none came
+    std::string outcome;                     // reported to later resends of a claimed request
 };
 
-// Takes the events of one exchange and writes the answer to its caller, until the exchange ends or
-// the caller is gone. Subclasses know the form of the answer.
+// Processes the events of one exchange and writes the answer to its caller, until the exchange ends
+// or the caller disconnects. Subclasses define the format of the answer.
 class answer_relay {
 public:
     answer_relay(mg_connection* caller_connection, exchange_ptr of_request,
@@ -34,27 +34,27 @@
     answer_relay(const answer_relay&) = delete;
     answer_relay& operator=(const answer_relay&) = delete;
 
-    // Header fields that go with the answer for the version that runs.
+    // Header fields of the answer, given the version that runs.
     using version_headers = std::function<header_list(const std::string& version)>;
     relay_end run(const version_headers& headers_of);
 
 protected:
-    // Each returns false when the caller is gone.
+    // Each returns false if the caller has disconnected.
     virtual bool on_piece(answer_piece& piece) = 0;
     virtual bool on_complete(const answer_complete& ending) = 0;
     virtual bool on_failure_midway(const error_response& response) = 0;
     virtual void on_restart() {}
     virtual void on_head(service_head& /*head*/) {}
 
-    // What a resend of a claimed request is told of this answer.
+    // The outcome that is reported to a resend of a claimed request.
     [[nodiscard]] virtual std::string outcome() const { return "it was answered"; }
-    virtual bool keep_alive() { return true; } // shows whether the caller is still there
+    virtual bool keep_alive() { return true; } // false if the caller has disconnected
 
     [[nodiscard]] mg_connection* connection() const { return this->caller; }
     [[nodiscard]] const exchange& request() const { return *this->source; }
     [[nodiscard]] const header_list& headers() const { return this->answer_headers; }
 
-    bool begun = false; // the head of the answer is with the caller
+    bool begun = false; // the head of the answer was sent
     int status = status_ok;
 
 private:
@@ -67,7 +67,7 @@
     header_list answer_headers;
 };
 
-// An engine's answer as server-sent events, the way they come.
+// Streams an engine's answer as server-sent events.
 class streamed_chat : public answer_relay {
 public:
     using answer_relay::answer_relay;
@@ -82,7 +82,7 @@
     bool begin();
 };
 
-// An engine's answer as one JSON object, once it is whole.
+// Collects an engine's answer into one JSON object.
 class collected_chat : public answer_relay {
 public:
     using answer_relay::answer_relay;
@@ -98,7 +98,7 @@
     std::string model;
 };
 
-// A plain service's answer, passed on as it is.
+// Forwards a plain service's answer unchanged.
 class service_answer : public answer_relay {
 public:
     using answer_relay::answer_relay;
@@ -115,7 +115,7 @@
     [[nodiscard]] header_list forwarded_fields(std::string& type) const;
 
     service_head head;
-    std::string buffered; // a small body goes out with its head in one write
+    std::string buffered; // a small body is sent with its head in one write
 };
 
 } // namespace pearhaven::router
--- a/router/src/caller_request.cpp
+++ b/router/src/caller_request.cpp
@@ -22,8 +22,8 @@
 constexpr std::uint32_t lowest_priority = 9;
 constexpr std::size_t request_id_digits = 32;
 
-// Deepest nesting of a chat request: schemas of tools go some ten levels deep. Printing takes a few
-// hundred bytes of stack a level, of the 100 KB that a caller's thread has.
+// Maximum nesting of a chat request. Tool schemas nest about ten levels deep. Serializing takes a
+// few hundred bytes of stack per level, and a caller thread has 100 KB of stack.
 constexpr std::size_t max_nesting = 64;
 
 std::string field(mg_connection* connection, const char* name)
@@ -109,7 +109,7 @@
     return std::nullopt;
 }
 
-// The text of a message's content: a string, or a list of parts with text.
+// Appends the text of a message's content, which is a string or a list of parts with text.
 void append_content(const json& content, std::string& text)
 {
     if (content.is_string()) {
@@ -123,8 +123,8 @@
     }
 }
 
-// Whether lists and objects in the JSON text lie deeper within each other than allowed. Looks at
-// the text, since the parser's own hook for it is called for each value.
+// Whether the JSON text nests arrays and objects too deeply. It scans the text, since the parser's
+// callback for this would be called for each value.
 bool is_nested_too_deep(const std::string& text)
 {
     std::size_t depth = 0;
@@ -132,7 +132,7 @@
     for (std::size_t at = 0; at < text.size(); ++at) {
         const char character = text[at];
         if (in_string) {
-            at += character == '\\' ? 1 : 0; // what is escaped ends no string
+            at += character == '\\' ? 1 : 0; // an escaped quote does not end the string
             in_string = character != '"';
         } else if (character == '"') {
             in_string = true;
--- a/router/src/caller_request.hpp
+++ b/router/src/caller_request.hpp
@@ -16,9 +16,9 @@
 
 namespace pearhaven::router {
 
-// The header fields of a request, as the caller sent them.
+// The header fields of a request, as sent by the caller.
 struct caller_fields {
-    std::string key_digest; // of the bearer key; empty where none was sent
+    std::string key_digest; // of the bearer key; empty if none was sent
     std::string idempotency_key;
     std::optional<bool> idempotent;
     std::string session; // empty, `new`, or a token
@@ -28,26 +28,26 @@
     std::string content_type;
 };
 
-// Reads the fields, or says what is wrong with one of them.
+// Reads the header fields, or returns an error that names the invalid field.
 std::variant<caller_fields, error_response> read_fields(mg_connection* connection);
 
-// Reads the body up to the limit. Malformed, oversized and unfinished ones give an answer instead.
+// Reads the body up to the limit. Returns an error for malformed, oversized and incomplete bodies.
 std::variant<std::string, error_response> read_body(mg_connection* connection,
                                                     std::uint32_t max_bytes);
 
-// A chat request's JSON, taken apart as far as routing needs it.
+// A chat request's JSON, parsed as far as routing needs it.
 struct chat_body {
     std::string requested_model;
     bool streamed = false;
     std::uint32_t max_tokens = 0;
-    std::string rest;   // the JSON object after its `model` field, always asking for a stream
-    std::string prompt; // all messages' text, for estimates and affinity
+    std::string rest;   // the JSON object after its `model` field, with `stream` set
+    std::string prompt; // the text of all messages, for estimates and affinity
 };
 
 std::variant<chat_body, error_response> read_chat(const std::string& body);
 
-// Identifies the request over all its resends: derived from the idempotency key where there is one,
-// so that resends to other routers are billed as one; else drawn anew.
+// Returns an id that is the same for all resends of the request: derived from the idempotency key
+// if there is one, so that resends to other routers are billed once, else random.
 std::string request_id_of(const std::string& team, const std::string& idempotency_key);
 
 } // namespace pearhaven::router
--- a/router/src/caller_server.cpp
+++ b/router/src/caller_server.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-// Threads beyond the callers' bound, which turn further callers away at once.
+// Threads beyond the limit of concurrent callers, which refuse further callers at once.
 constexpr std::uint32_t spare_threads = 16;
 
-constexpr int request_handled = 1; // any status above 0 tells CivetWeb that the request was handled
+constexpr int request_handled = 1; // any value above 0 tells CivetWeb that the request was handled
 constexpr std::size_t affinity_prefix =
-    512; // bytes of the prompt's beginning that engines likely cache
+    512; // bytes at the start of the prompt that engines likely cache
 constexpr std::string_view services_prefix = "/services/";
 
 int on_malformed(mg_connection* connection, int status, const char* message)
@@ -43,7 +43,7 @@
 
 } // namespace
 
-// Counts a caller from its request to its answer's end.
+// Counts a caller from the arrival of its request to the end of its answer.
 class caller_server::active_guard {
 public:
     explicit active_guard(std::atomic<std::size_t>& counted) : count(counted), ordinal(++counted) {}
@@ -140,7 +140,7 @@
 {
     this->dependencies.counts.add("pearhaven_turned_away_total",
                                   {{"status", std::to_string(response.status)}});
-    // Closing spares reading what is left of a body that is not wanted.
+    // Closing the connection avoids reading the rest of an unwanted body.
     send_failure(connection, response, {{"Connection", "close"}});
     mg_disable_connection_keep_alive(connection);
     return response.status;
@@ -216,7 +216,7 @@
     return false;
 }
 
-// What the dispatcher is told of every request, whatever it asks for.
+// Fills in the fields of an arrival that all kinds of requests have.
 decision::arrival caller_server::arrival_of(const admitted& from, const exchange_ptr& request) const
 {
     decision::arrival arrival;
@@ -282,8 +282,8 @@
     }
 }
 
-// The session that the caller names: a new one has no version yet. Nothing for a token that is
-// forged, or another team's.
+// The session that the caller names. A new session has no version yet. Returns nothing for a token
+// that is forged or belongs to another team.
 std::optional<decision::session> caller_server::read_session(const admitted& caller,
                                                              const std::string& asked) const
 {
@@ -305,7 +305,7 @@
     return decision::seal_session(session, newest, this->dependencies.session_keys);
 }
 
-// Claims the request if need be, hands it to the dispatcher, and writes its answer.
+// Claims the request if necessary, passes it to the dispatcher and writes the answer.
 void caller_server::serve(mg_connection* connection, const admitted& caller,
                           const exchange_ptr& request, decision::arrival arrival,
                           answer_relay& relay, const answer_relay::version_headers& headers_of)
@@ -322,8 +322,8 @@
     this->finish(connection, request, claim, end, kind);
 }
 
-// A request without a key cannot be told from another one; the dispatcher alone sees to it that
-// this send of it runs at most once.
+// Requests without an idempotency key cannot be distinguished, so they are not claimed. The
+// dispatcher then only ensures that this send runs at most once.
 bool caller_server::acquire_claim(mg_connection* connection, request_claim& claim,
                                   const caller_fields& fields, bool idempotent)
 {
@@ -388,7 +388,7 @@
         return;
     }
     const auto* info = mg_get_request_info(connection);
-    // The path as the caller wrote it: the decoded one could not be sent on.
+    // The path as the caller encoded it, since a decoded path could not be forwarded.
     const auto path = std::string(info->request_uri).substr(services_prefix.size());
     const auto name = path.substr(0, path.find('/'));
     const auto request = this->make_exchange(*caller);
@@ -416,14 +416,14 @@
     this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
 }
 
-// The configuration wins over what the caller says, but for one way: a caller may always ask for
-// more care.
+// The configuration takes precedence over the caller's header, except that a caller may always
+// declare its call as not idempotent.
 bool caller_server::is_idempotent_call(const admitted& caller, const std::string& service_name,
                                        const std::string& method)
 {
     const auto found = caller.configuration->services().find(service_name);
     if (found == caller.configuration->services().end()) {
-        return true; // it is refused for its name
+        return true; // the unknown service is refused later
     }
     const auto& repeatable = found->second.idempotent_methods;
     const bool by_method =
--- a/router/src/caller_server.hpp
+++ b/router/src/caller_server.hpp
@@ -22,7 +22,7 @@
 
 namespace pearhaven::router {
 
-// What the callers' threads need of the rest of the router. All of it outlives the server.
+// What the server uses of the rest of the router. All of it must outlive the server.
 struct caller_server_dependencies {
     const router_settings& settings;
     const published<decision::configuration_ptr>& configuration;
@@ -33,22 +33,22 @@
     adapters::metrics& counts;
 };
 
-// The callers' side: a CivetWeb server with a thread for each caller in flight.
+// Serves callers over HTTP with CivetWeb, one thread per caller in flight.
 class caller_server {
 public:
-    // Throws std::system_error when the port cannot be listened on.
+    // Throws std::system_error if the port cannot be listened on.
     explicit caller_server(const caller_server_dependencies& all_dependencies);
     ~caller_server();
     caller_server(const caller_server&) = delete;
     caller_server& operator=(const caller_server&) = delete;
 
-    // The port that callers reach.
+    // The port that callers connect to.
     [[nodiscard]] std::uint16_t port() const;
 
-    // Requests whose caller has not had the answer's end yet.
+    // Requests whose answer has not been sent completely.
     [[nodiscard]] std::size_t in_flight() const { return this->active.load(); }
 
-    // Closes the listener and ends the threads; requests in flight are cut off.
+    // Closes the listener and stops the threads. Requests in flight are cut off.
     void stop();
 
 private:
--- a/router/src/clock.hpp
+++ b/router/src/clock.hpp
@@ -7,7 +7,7 @@
 
 namespace pearhaven::router {
 
-// The process's monotonic clock, in the form that decisions take.
+// Current time of the monotonic clock, in the type that the decision library uses.
 inline decision::instant now()
 {
     const auto since_start = std::chrono::steady_clock::now().time_since_epoch();
--- a/router/src/engine_attempt.cpp
+++ b/router/src/engine_attempt.cpp
@@ -35,7 +35,7 @@
         this->closing_event = event;
         return position == this->next_index;
     }
-    // A resumed stream may repeat what has come already; a gap can never be filled.
+    // A resumed stream may repeat events; a gap can never be filled.
     if (position < this->next_index) {
         return true;
     }
--- a/router/src/engine_attempt.hpp
+++ b/router/src/engine_attempt.hpp
@@ -15,18 +15,18 @@
 
 namespace pearhaven::router {
 
-// One run of a request on an engine, over all the connections that it takes to get its answer. Only
-// the HTTP client's thread touches it once its first connection was started; connections follow
-// each other, they do not overlap.
+// One run of a request on an engine, over all connections that are used to read its answer. Once
+// its first connection was started, only the HTTP client's thread accesses it. Connections follow
+// each other and never overlap.
 class engine_run : public boost::intrusive_ref_counter<engine_run> {
 public:
     engine_run(std::string run_id, std::string version_name);
 
-    // Takes one event of the stream. False when it does not fit: of another run, out of order, or
-    // not readable; the answer cannot be whole then.
+    // Processes one event of the stream. Returns false if the event is malformed, out of order or
+    // of another run; the answer cannot be complete then.
     [[nodiscard]] bool take(const std::string& event, std::vector<std::string>& for_caller);
 
-    // Whether every token, the closing event and the end marker have come.
+    // Whether all tokens, the closing event and the end marker have been received.
     [[nodiscard]] bool is_whole() const;
 
     [[nodiscard]] const std::string& id() const { return this->run_id; }
@@ -49,7 +49,8 @@
 
 using engine_run_ptr = boost::intrusive_ptr<engine_run>;
 
-// Receives one connection's part of a run and hands the tokens to the caller's thread.
+// Receives the part of a run that arrives on one connection and passes the tokens to the caller's
+// thread.
 class engine_attempt : public adapters::http_listener {
 public:
     engine_attempt(routing_sink& events, exchange_ptr to_caller, engine_run_ptr of_run,
--- a/router/src/engine_event.cpp
+++ b/router/src/engine_event.cpp
@@ -10,10 +10,11 @@
 
 using nlohmann::json;
 
-// An older report says nothing of the load now; above it the age would not fit a duration.
+// Older reports are useless as a measure of the current load. A larger age would not fit a
+// duration.
 constexpr double max_load_age_ms = 3'600'000.0;
 
-// The member of the name; null where there is none, or no object to have it.
+// Returns the member with this name; null if there is none or if `object` is not an object.
 const json* member(const json& object, const char* name)
 {
     const auto found = object.find(name);
@@ -34,7 +35,7 @@
                : std::nullopt;
 }
 
-// Takes a number of zero or more, if there is one. False for anything else.
+// Reads a non-negative number, if the member exists. Returns false for any other value.
 bool read_amount(const json& object, const char* name, double& amount)
 {
     const auto* const value = member(object, name);
--- a/router/src/event_splitter.cpp
+++ b/router/src/event_splitter.cpp
@@ -34,7 +34,7 @@
 {
     std::vector<stream_event> events;
     std::size_t event_begin = 0;
-    std::size_t search_from = this->part.size(); // the line that is not whole has no end before it
+    std::size_t search_from = this->part.size(); // the incomplete line has no end before it
     this->part.append(bytes);
     for (auto line_end = this->part.find('\n', search_from); line_end != std::string::npos;
          line_end = this->part.find('\n', search_from)) {
--- a/router/src/event_splitter.hpp
+++ b/router/src/event_splitter.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::router {
 
-// One event of a stream, byte for byte, with its blank line.
+// One event of a stream with its exact bytes, including the blank line at its end.
 struct stream_event {
     std::string bytes;
     std::optional<std::uint64_t> id;
@@ -18,22 +18,23 @@
     friend bool operator==(const stream_event&, const stream_event&) = default;
 };
 
-// Cuts a text/event-stream into whole events. An endpoint can break off in the middle of an event;
-// a caller must never get such a half, because the rest of it cannot be had from another endpoint.
+// Splits a text/event-stream into complete events. An endpoint can break off in the middle of an
+// event. A caller must never get a partial event, because its rest cannot be had from another
+// endpoint.
 class event_splitter {
 public:
-    // The events that these bytes complete.
+    // Returns the events that these bytes complete.
     [[nodiscard]] std::vector<stream_event> feed(std::string_view bytes);
 
-    // Whether a part of an event is left over.
+    // Whether there is an incomplete event.
     [[nodiscard]] bool has_part() const { return !this->part.empty(); }
 
-    // Bytes of that part.
+    // Size of the incomplete event in bytes.
     [[nodiscard]] std::size_t part_size() const { return this->part.size(); }
 
 private:
     std::string part;
-    std::size_t line_begin = 0; // of the line in `part` that is not whole
+    std::size_t line_begin = 0; // start of the incomplete line in `part`
 };
 
 } // namespace pearhaven::router
--- a/router/src/exchange.hpp
+++ b/router/src/exchange.hpp
@@ -20,7 +20,7 @@
 
 namespace pearhaven::router {
 
-// What was used up by a run that came to its end.
+// Tokens used by a completed run.
 struct usage {
     std::uint64_t prompt_tokens = 0;
     std::uint64_t completion_tokens = 0;
@@ -28,7 +28,7 @@
     friend bool operator==(const usage&, const usage&) = default;
 };
 
-// A run of the request was started; what came of earlier runs is void.
+// A run of the request was started. Results of earlier runs are void.
 struct run_started {
     std::string version;
 };
@@ -39,51 +39,52 @@
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-// Part of the answer: whole server-sent events of an engine, or bytes of a plain service.
+// Part of the answer: complete server-sent events of an engine, or bytes of a plain service.
 struct answer_piece {
     std::vector<std::string> events;
     std::string bytes;
 };
 
-// The answer is whole and billed.
+// The answer is complete and billed.
 struct answer_complete {
     usage used;
-    std::string last_event; // the engine's closing event, held back until the bill was safe
+    std::string last_event; // the engine's closing event, sent only after the bill is safe
 };
 
 struct answer_failed {
     decision::failure why;
 };
 
-// What became of the claim of a request that must run at most once.
+// Result of claiming a request that must run at most once.
 struct claim_answer {
     std::optional<coordination::claim_number> granted;
-    decision::failure why; // where it was not granted
+    decision::failure why; // set if the claim was not granted
 };
 
 using exchange_event = std::variant<run_started, service_head, answer_piece, answer_complete,
                                     answer_failed, claim_answer>;
 
-// One request on its way through the router's threads: the caller's thread waits at its ring, the
-// others push into it. Shared by count, since a late event may outlive the caller.
+// One request shared by the router's threads: the caller's thread waits on its ring, and the others
+// push events into it. Reference-counted, since a late event may outlive the caller.
 class exchange : public boost::intrusive_ref_counter<exchange> {
 public:
-    // Places in the ring beyond those for pieces of the answer. The few events that end an exchange
-    // must always find a place: their pushers may not wait, and without them a caller would hang.
+    // Slots of the ring that are reserved for events other than pieces of the answer. The few
+    // events that end an exchange must always find a free slot: their senders may not block, and
+    // without them a caller would hang.
     static constexpr std::size_t ring_size = 64;
     static constexpr std::size_t reserved = 8;
 
     [[nodiscard]] bool has_room() const { return this->events.size() + reserved < ring_size; }
 
-    // Whether the next piece of the answer finds a place. If not, `paused` is set, and the caller's
-    // thread resumes the transfer once it has taken something.
+    // Whether the next piece of the answer fits. If not, `paused` is set, and the caller's thread
+    // resumes the transfer after it has taken an event.
     [[nodiscard]] bool has_room_or_pauses()
     {
         if (this->has_room()) {
             return true;
         }
-        // The flag goes up before the second look: else the caller's thread could empty the ring in
-        // between, see no flag, and the transfer would stay paused for good.
+        // The flag is set before the second check. Otherwise the caller's thread could empty the
+        // ring in between without seeing the flag, and the transfer would stay paused forever.
         this->paused.store(true);
         if (!this->has_room()) {
             return false;
@@ -94,25 +95,25 @@
 
     void push(exchange_event event)
     {
-        // A full ring here means that its caller has left.
+        // The ring is full only if the caller has disconnected.
         static_cast<void>(this->events.try_push(event));
     }
 
-    // Set by the caller's thread when it no longer waits for its claim.
+    // Set by the caller's thread when it stops waiting for its claim.
     std::atomic<bool> claim_abandoned{false};
 
-    // Set by the HTTP client's thread when an answer has to wait for the caller.
+    // Set by the HTTP client's thread when the transfer has to wait for the caller.
     std::atomic<bool> paused{false};
     std::atomic<adapters::exchange_number> transfer{0};
 
-    // Set before the arrival is handed on; read-only afterwards.
+    // Set before the request is passed to the dispatcher; read-only afterwards.
     decision::ticket_number ticket = 0;
     std::string request_id;
     std::string team;
     bool is_service = false;
     bool streamed = false;
     bool idempotent = true;
-    std::string method; // of a plain service's call
+    std::string method; // of a call to a plain service
     std::string path;
     std::string body; // of a chat request: the JSON object after its `model` field
     std::string content_type;
--- a/router/src/fleet_event.hpp
+++ b/router/src/fleet_event.hpp
@@ -12,7 +12,8 @@
 
 namespace pearhaven::router {
 
-// The parts that share the fleet thread; a reply of the store goes back to the part that asked.
+// The components on the fleet thread. A response from the store goes to the component that made the
+// call.
 enum class fleet_part : std::uint8_t {
     configuration,
     membership,
@@ -34,32 +35,32 @@
     coordination::peer_message message;
 };
 
-// A whole answer that has to be billed before its end goes to the caller.
+// A complete answer that must be billed before its end is sent to the caller.
 struct bill_due {
     coordination::bill what;
     exchange_ptr caller;
     answer_complete ending;
 };
 
-// A request that must run at most once asks for its claim.
+// Requests a claim for a request that must run at most once.
 struct claim_requested {
     std::string team;
     std::string key;
     exchange_ptr caller;
 };
 
-// A claimed request has come to its end.
+// A claimed request has ended.
 struct claim_settled {
     coordination::claim_number claim = 0;
     decision::run_state run = decision::run_state::unknown;
-    std::string outcome; // as a resend is to be told
+    std::string outcome; // reported to resends
 };
 
 struct fact_observed {
     coordination::fact what;
 };
 
-// A planned stop: first the router finishes its work, then it is gone.
+// A graceful stop: first the router finishes its work (`is_over` is false), then it leaves.
 struct leave_begun {
     bool is_over = false;
 };
@@ -67,12 +68,12 @@
 using fleet_event = std::variant<store_replied, peer_message_received, bill_due, claim_requested,
                                  claim_settled, fact_observed, leave_begun>;
 
-// Port through which the other duties reach the fleet thread. Safe from any thread.
+// Interface through which other threads send events to the fleet thread. Thread-safe.
 class fleet_sink {
 public:
     virtual ~fleet_sink() = default;
 
-    // Waits for room; false when the fleet thread has stopped.
+    // Blocks until there is space; returns false if the fleet thread has stopped.
     virtual bool submit(fleet_event event) = 0;
 };
 
--- a/router/src/fleet_worker.cpp
+++ b/router/src/fleet_worker.cpp
@@ -23,13 +23,13 @@
 constexpr std::chrono::milliseconds tick_period{20};
 constexpr std::chrono::milliseconds members_period{200};
 
-// How old the knowledge of the configuration may be for new work to start by it.
+// Maximum age of the last confirmation of the configuration for new work to start.
 constexpr decision::duration freshness_bound = std::chrono::seconds(3);
 
-// In an outage that all live peers agree on, each word of that holds for so long.
+// During a store outage that all live peers agree on, how long each agreement allows new work.
 constexpr decision::duration outage_agreement_lifetime = std::chrono::milliseconds(500);
 
-// Smaller steps forward are not worth an event.
+// Smaller extensions of the validity are not reported.
 constexpr decision::duration min_validity_step = std::chrono::milliseconds(100);
 
 coordination::config_replica_settings replica_settings_of(const fleet_worker::dependencies& deps)
@@ -65,7 +65,7 @@
     return chosen;
 }
 
-// `IP:port` of a router that the settings name.
+// Parses `IP:port` of a router in the settings.
 coordination::member_address to_seed(const std::string& text)
 {
     const auto colon = text.rfind(':');
@@ -73,7 +73,8 @@
             static_cast<std::uint16_t>(std::stoul(text.substr(colon + 1)))};
 }
 
-// Nothing is quarantined by a subject that is no number: such a fact comes from no router of ours.
+// Returns 0, which quarantines no request, for a subject that is not a number. such a fact does not
+// come from one of this fleet's routers.
 std::uint64_t fingerprint_of(const coordination::fact& fact)
 {
     std::uint64_t number = 0;
@@ -201,8 +202,8 @@
     this->fleet.emplace(std::move(chosen), *this->member_codec, now());
 }
 
-// The parts that act on who is there are told again and again: it is cheap, and nothing can be
-// missed.
+// Passes the live members to all components that depend on them. It is repeated periodically: this
+// is cheap, and no change can be missed.
 void fleet_worker::update_members()
 {
     const auto moment = now();
@@ -217,7 +218,7 @@
         ids.insert(one.id);
     }
     this->replica.set_reader(this->fleet->is_reader(), moment);
-    this->rollouts.set_candidate(this->fleet->is_reader()); // few routers look at the duty's key
+    this->rollouts.set_candidate(this->fleet->is_reader()); // only few routers poll the duty's key
     this->replica.set_peers(std::move(peers), moment);
     this->ledger.set_peers(live);
     this->claims.set_live(std::move(ids));
@@ -275,7 +276,7 @@
     scene.stored = stored.get();
     scene.facts = &this->facts;
     scene.live.insert(this->deps.incarnation);
-    if (this->rollouts.holds_duty()) { // the list is long to copy so often, and only then looked at
+    if (this->rollouts.holds_duty()) { // the long list is copied only when it is needed
         for (const auto& one : this->fleet->live()) {
             scene.live.insert(one.id);
         }
@@ -303,7 +304,7 @@
         this->rollouts.on_reply(event.tag, event.reply, now());
         break;
     case fleet_part::facts:
-        break; // facts ask nothing of the store
+        break; // facts make no store calls
     }
 }
 
@@ -375,7 +376,7 @@
     }
 }
 
-// What was learnt has its own time in the parts that act on it.
+// Nothing to do: the components that use facts expire them on their own.
 void fleet_worker::carry_out(fleet_part /*part*/, const coordination::fact_forgotten& /*action*/) {}
 
 void fleet_worker::handle(leave_begun& event)
@@ -403,7 +404,7 @@
         answer.why = to_failure(action);
     }
     caller->push(answer);
-    // A caller that has stopped waiting dispatches nothing; its claim must not block the next send.
+    // A caller that has stopped waiting dispatches nothing. Its claim must not block the next send.
     if (answer.granted && caller->claim_abandoned.load()) {
         this->claims.settle(action.claim, coordination::claim_state::not_run, "", now());
     }
@@ -422,7 +423,7 @@
 
 void fleet_worker::carry_out(fleet_part /*part*/, const coordination::bill_safe& action)
 {
-    // Several callers may wait for one bill: resends of one request that all ran to their end.
+    // Several callers may wait for one bill if several resends of a request completed.
     const auto [first, last] = this->unbilled.equal_range(action.request);
     for (auto waiting = first; waiting != last; ++waiting) {
         waiting->second.caller->push(std::move(waiting->second.ending));
@@ -457,9 +458,9 @@
         adapters::log_warning("configuration_object_ignored",
                               {{"fault", adapters::to_string(fault)}});
     }
-    // The threads of callers take requests by what is published, and the dispatcher judges them by
-    // what it was told. Told later, it turned a caller away whose team or key was new to it alone.
-    // In this order each request comes behind the configuration that it was taken by.
+    // Caller threads admit requests by the published configuration, and the dispatcher checks them
+    // against its own. The dispatcher must get a new configuration first: otherwise it refuses
+    // callers whose team or key it does not know yet.
     this->routing->submit(configuration_changed{built.configuration});
     this->deps.configuration.set(std::move(built.configuration));
     this->fleet->set_config_revision(action.state->revision());
@@ -505,7 +506,7 @@
     if (!is_change) {
         return;
     }
-    this->carry_out_all(); // a newer configuration goes ahead of the word that it is in force
+    this->carry_out_all(); // a newer configuration must arrive before its validity
     this->reported_until = until;
     this->routing->submit(config_validity_changed{until});
     if (in_touch != this->was_in_touch) {
--- a/router/src/fleet_worker.hpp
+++ b/router/src/fleet_worker.hpp
@@ -26,25 +26,25 @@
 
 namespace pearhaven::router {
 
-// What the operator port shows of the fleet thread.
+// State of the fleet thread that the operator port shows.
 struct fleet_view {
     std::uint64_t revision = 0;
     std::optional<decision::duration> confirmed_age;
     bool ready = false;
     bool in_touch = false;
     bool outage_agreed = false;
-    bool left = false; // the fleet has been told that this router is gone
+    bool left = false; // the other routers were informed that this router has left
     std::size_t bills_waiting = 0;
     std::vector<coordination::member> members;
 
     friend bool operator==(const fleet_view&, const fleet_view&) = default;
 };
 
-// How a member's state is written on pages for people.
+// The name of a member's state on status pages and in logs.
 std::string state_name(coordination::member_state state);
 
-// The thread on which the coordination parts run: the configuration's replica, and with it whatever
-// this router agrees on with the others or keeps in the store.
+// Runs the coordination components on a thread of its own: the configuration replica, and
+// everything that this router agrees on with other routers or keeps in the store.
 class fleet_worker : public fleet_sink {
 public:
     struct dependencies {
@@ -61,7 +61,7 @@
     fleet_worker(const fleet_worker&) = delete;
     fleet_worker& operator=(const fleet_worker&) = delete;
 
-    // Both outlive the duty's thread.
+    // Both references must outlive the worker's thread.
     void start(routing_sink& routing_events, adapters::peer_link& peer_link,
                std::uint16_t operator_port);
     void stop();
@@ -81,7 +81,7 @@
     void handle(fact_observed& event);
     void handle(leave_begun& event);
 
-    // Takes the actions of every part and carries them out.
+    // Executes the pending actions of all components.
     void carry_out_all();
     template <class Part>
     void carry_out_part(fleet_part part, Part& source);
@@ -118,9 +118,9 @@
     coordination::once_claims claims;
     coordination::fact_table facts;
     rollout_controller rollouts;
-    std::optional<coordination::membership> fleet; // from the start of the thread on
+    std::optional<coordination::membership> fleet; // set when the thread starts
     std::map<coordination::claim_number, exchange_ptr> claimants;
-    std::multimap<std::string, bill_due> unbilled; // by request
+    std::multimap<std::string, bill_due> unbilled; // by request id
     decision::instant next_tick;
     decision::instant next_members;
     bool left = false;
--- a/router/src/http_reply.hpp
+++ b/router/src/http_reply.hpp
@@ -27,17 +27,17 @@
 constexpr int status_unavailable = 503;
 constexpr int status_gateway_timeout = 504;
 
-// An answer that is ready as a whole. False when the caller is gone.
+// Sends a complete answer. Returns false if the caller has disconnected.
 bool send_answer(mg_connection* connection, int status, const std::string& content_type,
                  const header_list& headers, std::string_view body);
 
-// Begins an answer whose length is not known yet; pieces follow, then the end.
+// Begins an answer of unknown length. Pieces follow, then the end.
 bool begin_stream(mg_connection* connection, int status, const std::string& content_type,
                   const header_list& headers);
 bool send_piece(mg_connection* connection, std::string_view piece);
 bool end_stream(mg_connection* connection);
 
-// How a failure looks to the caller.
+// An error answer to a caller.
 struct error_response {
     int status = status_unavailable;
     header_list headers;
@@ -45,7 +45,8 @@
 };
 error_response to_error_response(const decision::failure& why);
 
-// A request that was turned away before it became one: malformed, without a known key, too large.
+// The answer to a request that is rejected before it is routed: malformed, without a known key, or
+// too large.
 error_response make_rejection(int status, std::string_view code, std::string_view message);
 
 bool send_failure(mg_connection* connection, const error_response& response,
--- a/router/src/main.cpp
+++ b/router/src/main.cpp
@@ -14,7 +14,8 @@
 constexpr int status_settings = 2;
 constexpr int status_failed = 1;
 
-// Blocked in every thread, so that only the waiting main thread takes them.
+// Signals that stop the process. They are blocked in every thread, so that only the waiting main
+// thread receives them.
 sigset_t stop_signals()
 {
     sigset_t signals;
@@ -24,8 +25,8 @@
     return signals;
 }
 
-// Each stream takes two sockets; the usual soft limit of 1,024 would refuse callers long before the
-// threads run out. Where the hard limit is lower than wanted, it is what there is.
+// Each stream takes two sockets. The usual soft limit of 1,024 open files would refuse callers long
+// before the threads run out, so it is raised to the hard limit.
 void raise_open_files()
 {
     rlimit limit{};
@@ -47,7 +48,7 @@
     const auto signals = stop_signals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     raise_open_files();
-    std::signal(SIGPIPE, SIG_IGN); // a gone caller is told by the failed write
+    std::signal(SIGPIPE, SIG_IGN); // disconnected callers are detected by failed writes
     pearhaven::router::router running(settings);
     print_ports(running);
     int signal = 0;
--- a/router/src/operator_server.hpp
+++ b/router/src/operator_server.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::router {
 
-// What the operator port shows. Each function is called on the server's threads.
+// The pages of the operator port. Each function is called on the server's threads.
 struct operator_pages {
     std::function<std::string()> status;    // JSON
     std::function<std::string()> endpoints; // JSON
@@ -18,11 +18,11 @@
     std::function<bool()> ready;
 };
 
-// The operators' side, on a port of its own: status behind the operators' key, metrics and health
-// without one.
+// Serves operators on a port of its own: status pages require the operators' key, metrics and
+// health do not.
 class operator_server {
 public:
-    // Throws std::system_error when the port cannot be listened on.
+    // Throws std::system_error if the port cannot be listened on.
     operator_server(const std::string& host, std::uint16_t port, std::string key,
                     operator_pages shown);
     ~operator_server();
--- a/router/src/pace_meter.cpp
+++ b/router/src/pace_meter.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Gaps of which the middle one is the pace. Fewer than half of them meet another caller's prompt on
-// a calm day; more would come too late for a roll-out's verdict.
+// Number of gaps whose median is the pace. Usually fewer than half of them are stretched by another
+// caller's prompt. More gaps would delay the verdict on a rollout.
 constexpr std::size_t sample_gaps = 8;
 
-// Of a stream that ended before.
+// Minimum number of gaps for a stream that ended earlier.
 constexpr std::size_t min_gaps = 3;
 
 } // namespace
--- a/router/src/pace_meter.hpp
+++ b/router/src/pace_meter.hpp
@@ -9,14 +9,15 @@
 
 namespace pearhaven::router {
 
-// The usual time between two pieces of one stream: the middle one of the first gaps. It is told
-// once, as soon as it is known.
+// Measures the pace of one stream: the median of its first gaps between pieces. The pace is
+// reported once, as soon as it is known.
 class pace_meter {
 public:
-    // A piece has come. The pace, when this is the piece that shows it.
+    // Records a piece. Returns the pace if this piece completes the measurement.
     [[nodiscard]] std::optional<decision::duration> on_piece(decision::instant now);
 
-    // The stream has ended. The pace, where it was not told yet and there were pieces enough.
+    // Records the end of the stream. Returns the pace if it was not reported yet and there were
+    // enough pieces.
     [[nodiscard]] std::optional<decision::duration> at_end();
 
 private:
--- a/router/src/peer_messenger.cpp
+++ b/router/src/peer_messenger.cpp
@@ -176,8 +176,9 @@
     }
 }
 
-// What a watcher passes on follows what it passed on before. Whoever missed that asks it for the
-// rest, unless it has to ask the store anyway; what the word itself tells holds all the same.
+// Handles updates that a watching router forwards without being asked. They continue its previous
+// ones. A router that missed some asks for the rest, unless it has to ask the store anyway. The
+// updates themselves are valid in either case.
 void peer_messenger::handle(const std::string& from, const adapters::peer_address& reply_to,
                             const coordination::mirror_news& updates)
 {
@@ -190,7 +191,7 @@
         this->deps.mirror.on_told(updates);
         this->deps.on_updates();
     }
-    if (!updates.valid && updates.after > known && !this->deps.mirror.has_to_ask()) {
+    if (!updates.whole && updates.after > known && !this->deps.mirror.has_to_ask()) {
         this->link->send(reply_to, coordination::mirror_pull{0, known});
         return;
     }
@@ -198,8 +199,8 @@
                         this->deps.loop.now());
 }
 
-// The store may serve the one that asks again before the answer comes; what is told late is older
-// than what is known, and changes nothing.
+// Handles updates that this router asked for. The store may have answered this router in the
+// meantime: updates older than the mirror change nothing.
 void peer_messenger::update_mirror(const std::string& from,
                                    const coordination::mirror_news& updates)
 {
@@ -216,7 +217,7 @@
     adapters::log_change("heard_from_peer", {{"peer", from},
                                              {"revision", std::to_string(updates.as_of)},
                                              {"changes", std::to_string(updates.entries.size())},
-                                             {"whole", updates.valid ? "true" : "false"}});
+                                             {"whole", updates.whole ? "true" : "false"}});
     this->deps.mirror.on_told(updates);
     this->deps.on_updates();
 }
--- a/router/src/published.hpp
+++ b/router/src/published.hpp
@@ -6,7 +6,7 @@
 
 namespace pearhaven::router {
 
-// The newest value of something that one thread writes and many read.
+// The latest value written by one thread and read by many.
 template <class Value>
 class published {
 public:
--- a/router/src/request_claim.cpp
+++ b/router/src/request_claim.cpp
@@ -41,9 +41,10 @@
     return answer->granted ? std::nullopt : std::optional(answer->why);
 }
 
-// From here on the fleet thread closes a claim that it grants. One that was granted at this moment
-// may lie in the ring and be closed as not run all the same: were it taken, the request would run
-// under a claim that lets a resend elsewhere run it again. So nothing runs, and both may close it.
+// From here on the fleet thread closes a claim that it grants. A claim granted at this very moment
+// may already be in the ring and still be closed as not run. If it were used, the request would run
+// under a claim that allows a resend elsewhere to run it again. So nothing runs, and both sides may
+// close the claim.
 decision::failure request_claim::abandon()
 {
     this->request->claim_abandoned.store(true);
--- a/router/src/request_claim.hpp
+++ b/router/src/request_claim.hpp
@@ -10,12 +10,12 @@
 
 namespace pearhaven::router {
 
-// The claim of a request that must run at most once, as its caller's thread holds it. A claim that
-// was granted and never settled is closed as not run: nothing was handed on then.
+// The claim of a request that must run at most once, held by its caller's thread. A granted claim
+// that is never settled is closed as not run, since nothing was dispatched.
 class request_claim {
 public:
-    // The fleet thread decides each claim within its own, shorter patience; this one covers a fleet
-    // thread that is itself held up.
+    // The fleet thread decides each claim within a shorter timeout of its own. This one covers a
+    // stalled fleet thread.
     static constexpr std::chrono::milliseconds default_timeout{5000};
 
     request_claim(fleet_sink& fleet_events, exchange_ptr of_request,
@@ -24,11 +24,11 @@
     request_claim(const request_claim&) = delete;
     request_claim& operator=(const request_claim&) = delete;
 
-    // Waits for the claim under the caller's key. Nothing when it is granted; else the final
-    // answer.
+    // Requests the claim under the caller's key and waits for the decision. Returns nothing if it
+    // is granted, else the final answer.
     [[nodiscard]] std::optional<decision::failure> acquire(const std::string& key);
 
-    // How the request ended; does nothing where no claim was taken.
+    // Reports how the request ended. No effect if no claim is held.
     void settle(decision::run_state run, const std::string& outcome);
 
 private:
--- a/router/src/rollout_controller.cpp
+++ b/router/src/rollout_controller.cpp
@@ -23,8 +23,8 @@
 
 constexpr decision::duration evaluation_period = std::chrono::milliseconds(100);
 
-// After a change that was not accepted. Whatever came in its way is in force by then, or is seen
-// then.
+// Wait after a change before the next evaluation. By then, whatever made the store refuse the
+// change is in force or visible.
 constexpr decision::duration delay_after_change = std::chrono::milliseconds(500);
 
 coordination::lease_holder_settings duty_settings(const coordination::incarnation_id& self,
@@ -75,8 +75,8 @@
     return "other";
 }
 
-// The object as it is stored, with other values for some fields of its spec; nothing where it is
-// not stored or cannot be read.
+// The stored object with some fields of its spec replaced; nothing if it is not stored or cannot be
+// parsed.
 std::optional<config_object> edited_object(const rollout_context& context, const std::string& kind,
                                            const std::string& name, const json& fields)
 {
--- a/router/src/rollout_controller.hpp
+++ b/router/src/rollout_controller.hpp
@@ -18,24 +18,24 @@
 
 namespace pearhaven::router {
 
-// What the keeper judges by, at one moment.
+// The state that the controller decides on, at one moment.
 struct rollout_context {
     const decision::configuration* current = nullptr;
-    const coordination::config_state* stored = nullptr; // the same configuration as stored
+    const coordination::config_state* stored = nullptr; // the same configuration, as stored
     const coordination::fact_table* facts = nullptr;
-    std::set<coordination::incarnation_id> live; // with this router
+    std::set<coordination::incarnation_id> live; // including this router
 };
 
-// Moves the roll-outs, on the one router that holds that duty. Each move is a change of the
-// configuration like an operator's: it comes into force everywhere in one order with all others,
-// outlives every router, and loses against an operator who changed the roll-out meanwhile. That
-// also makes a holder harmless that was paused past its lease: its change is on an old revision of
-// the object, and is refused as a conflict.
+// Advances the rollouts, on the one router that holds the rollout duty. Each step is a change of
+// the configuration like an operator's: it takes effect everywhere in one order with all other
+// changes, survives the loss of any router, and loses against an operator who changed the rollout
+// in the meantime. This also makes a holder harmless that was paused past its lease: its change is
+// based on an old revision of the object and is refused as a conflict.
 class rollout_controller {
 public:
     using action = std::variant<coordination::store_call, coordination::unreadable_value>;
 
-    // The codecs must outlive the keeper.
+    // The codecs must outlive the controller.
     rollout_controller(const coordination::incarnation_id& self, std::uint64_t random_seed,
                        const coordination::duty_codec& duties,
                        const coordination::config_head_codec& heads, decision::instant now);
@@ -46,13 +46,13 @@
                   decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
 
-    // This router stops: another takes the duty at once.
+    // Releases the duty because this router stops, so that another router takes it at once.
     void release();
 
     [[nodiscard]] bool holds_duty() const { return this->duty.number() != 0; }
 
 private:
-    // Whose call it was, and by which tag; writer 0 stands for the duty.
+    // The sender of a store call and its tag there; writer 0 stands for the duty.
     struct open_call {
         std::uint64_t writer = 0;
         coordination::call_tag tag = 0;
@@ -73,7 +73,7 @@
     decision::rollout_judge judge;
     std::optional<coordination::config_writer> writer;
     std::uint64_t writer_count = 0;
-    std::uint64_t awaited_revision = 0; // of the last change: judged again once it is in force
+    std::uint64_t awaited_revision = 0; // of the last change; no further step before it is in force
     decision::instant next_evaluation;
     coordination::call_tag next_tag = 1;
     std::map<coordination::call_tag, open_call> calls;
--- a/router/src/router.cpp
+++ b/router/src/router.cpp
@@ -210,10 +210,11 @@
     const auto first = now();
     const auto end = first + this->settings.longest_drain;
     this->routing.submit(drain_begun{{first + this->settings.quiet_before_close, end}});
-    // The balancer needs a moment to see that this router is not ready: until then it sends new
-    // work, which is still taken, so that nobody is refused by a planned stop.
+    // The load balancer needs a moment to notice that this router is not ready. New work that it
+    // sends until then is still accepted, so that a graceful stop refuses nobody.
     wait_until([] { return false; }, this->settings.quiet_before_close);
-    this->routing.submit(drain_begun{{now(), end}}); // in a hurry before its time
+    this->routing.submit(
+        drain_begun{{now(), end}}); // stops new work early if `stop_now` ended the wait
     wait_until(
         [this] { return this->callers.in_flight() == 0 && this->fleet.view().bills_waiting == 0; },
         this->settings.longest_drain);
--- a/router/src/routing_event.hpp
+++ b/router/src/routing_event.hpp
@@ -31,7 +31,7 @@
     decision::configuration_ptr current;
 };
 
-// Until when this router may take its configuration for the one in force.
+// The time until which this router may treat its configuration as the one in force.
 struct config_validity_changed {
     decision::instant until;
 };
@@ -55,13 +55,13 @@
     decision::suspect_table::standing standing = decision::suspect_table::standing::clear;
 };
 
-// Another router's evidence has tripped an attempt at rolling the version out.
+// Another router's evidence has stopped an attempt to roll out the version.
 struct version_trip_reported {
     std::string version;
     std::uint64_t run = 0;
 };
 
-// This router's place among all live routers.
+// This router's position among all live routers.
 struct fleet_changed {
     std::size_t rank = 0;
     std::size_t size = 1;
@@ -69,7 +69,7 @@
     friend bool operator==(const fleet_changed&, const fleet_changed&) = default;
 };
 
-// A planned stop: no new work from now on.
+// A graceful stop: no new work from now on.
 struct drain_begun {
     decision::planned_stop times;
 };
@@ -79,15 +79,15 @@
                  config_validity_changed, hosts_listed, load_reported, endpoint_leaving_reported,
                  suspect_status_reported, version_trip_reported, fleet_changed, drain_begun>;
 
-// Port through which the other duties reach the routing thread. Safe from any thread.
+// Interface through which other threads send events to the routing thread. Thread-safe.
 class routing_sink {
 public:
     virtual ~routing_sink() = default;
 
-    // Waits for room; false when the routing thread has stopped.
+    // Blocks until there is space; returns false if the routing thread has stopped.
     virtual bool submit(routing_event event) = 0;
 
-    // False at once when there is no room: for new work, which can be refused.
+    // Returns false at once if there is no space. For new work, which can be refused.
     virtual bool offer(routing_event& event) = 0;
 };
 
--- a/router/src/routing_worker.cpp
+++ b/router/src/routing_worker.cpp
@@ -27,7 +27,7 @@
 constexpr decision::duration leaving_lifetime = std::chrono::minutes(10);
 constexpr decision::duration standing_lifetime = std::chrono::hours(1);
 
-// A roll-out's counts are told again now and then, so that they outlive the fact's time.
+// A rollout's counts are republished periodically, so that they outlive the fact's time to live.
 constexpr std::chrono::milliseconds rollouts_period{200};
 constexpr decision::duration rollout_repeat = std::chrono::minutes(1);
 constexpr decision::duration rollout_lifetime = std::chrono::minutes(10);
@@ -108,7 +108,7 @@
     }
 }
 
-// What has come by now is handled: its time is judged next.
+// Handles the events that have arrived by now, before the dispatcher checks for timeouts.
 void routing_worker::handle_waiting()
 {
     for (auto waiting = this->ring.size(); waiting > 0; --waiting) {
@@ -135,8 +135,8 @@
 {
     this->dispatcher.on_configuration(event.current, now());
     this->carry_out();
-    // Only now: an operator who is told that a withdrawal is in force must not see a start of the
-    // withdrawn version afterwards.
+    // Set only after the dispatcher has applied it: once an operator sees that a withdrawal is in
+    // force, the withdrawn version must not be started again.
     this->revision_in_force.store(event.current->revision());
 }
 
@@ -256,8 +256,8 @@
     request.connect_timeout = this->settings.connect_timeout;
     request.first_byte_timeout = this->settings.service_timeout;
     request.progress_timeout = this->settings.service_timeout;
-    // An idle connection that the service closes as the call goes out would leave it open whether
-    // the call ran: what must not be repeated goes over a connection of its own, and is sent once.
+    // If a service closes an idle connection just as a call is sent, it is unknown whether the call
+    // ran. Calls that must not be repeated use a fresh connection and are sent once.
     request.fresh_connection = !caller->idempotent;
     request.may_resend = caller->idempotent;
     caller->transfer =
@@ -436,7 +436,8 @@
                               });
 }
 
-// Engines give load reports. A plain service has its own paths: asking it would be a call of it.
+// Only engines provide load reports. A plain service defines its own paths, so polling it would be
+// a call to it.
 bool routing_worker::gives_load_reports(const decision::endpoint_host& host) const
 {
     const auto& current = this->dispatcher.current();
--- a/router/src/routing_worker.hpp
+++ b/router/src/routing_worker.hpp
@@ -20,18 +20,18 @@
 
 namespace pearhaven::router {
 
-// What the operator port shows of the routing thread.
+// State of the routing thread that the operator port shows.
 struct routing_view {
     std::vector<decision::endpoint_table::endpoint_status> endpoints;
     std::size_t in_flight = 0;
     std::size_t queued = 0;
 };
 
-// The thread that feeds the dispatcher with events and carries out its actions. It also keeps the
-// dispatcher's view of the endpoints fresh from the host list and from load reports.
+// Runs the dispatcher on a thread of its own: feeds it with events and executes its actions. It
+// also keeps the dispatcher's view of the endpoints current from the host list and load reports.
 class routing_worker : public routing_sink {
 public:
-    // All references must outlive the duty.
+    // All references must outlive the worker.
     routing_worker(const router_settings& chosen, adapters::http_client& http_client,
                    fleet_sink& fleet_events, adapters::metrics& process_metrics,
                    std::uint64_t seed);
@@ -47,7 +47,7 @@
 
     [[nodiscard]] routing_view view() const;
 
-    // The configuration's revision that every start from now on is decided by.
+    // Revision of the configuration that applies to every attempt started from now on.
     [[nodiscard]] std::uint64_t revision() const { return this->revision_in_force.load(); }
 
 private:
--- a/router/src/service_attempt.hpp
+++ b/router/src/service_attempt.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::router {
 
-// Receives a plain service's answer and passes it on to the caller's thread as it is.
+// Receives a plain service's answer and passes it unchanged to the caller's thread.
 class service_attempt : public adapters::http_listener {
 public:
     service_attempt(routing_sink& events, exchange_ptr to_caller,
--- a/router/src/settings.cpp
+++ b/router/src/settings.cpp
@@ -46,9 +46,9 @@
 
 constexpr std::size_t min_key_length = 16;
 
-// A router that is paused stops taking work 3 s after its last confirmation, counted by its own
-// clock; its membership must not lapse before that, since an operator's command then waits for it
-// no longer.
+// A paused router stops accepting work 3 s after its last confirmation by its own clock. Its
+// membership must not expire before that, since operators' commands stop waiting for a router whose
+// membership has expired.
 constexpr long min_member_lease_ms = 5000;
 
 std::string trimmed(std::string text)
--- a/router/test/caller_request_test.cpp
+++ b/router/test/caller_request_test.cpp
@@ -21,7 +21,7 @@
 }
 ;
 
-TEST(caller_request_test, a_chat_is_taken_apart_as_far_as_routing_needs_it)
+TEST(caller_request_test, parses_the_fields_of_a_chat_request_that_routing_needs)
 {
     const auto read = read_chat(R"({"model":"m","stream":true,"max_tokens":9,"temperature":0.5,
         "messages":[{"role":"user","content":"hello"}]})");
@@ -34,7 +34,7 @@
     CHECK_TRUE(chat.rest.find("\"temperature\":0.5") != std::string::npos);
 }
 
-TEST(caller_request_test, a_fault_names_its_field)
+TEST(caller_request_test, errors_name_the_invalid_field)
 {
     CHECK_TRUE(names("{", "not JSON"));
     CHECK_TRUE(names("[]", "JSON object"));
@@ -47,14 +47,14 @@
                      "max_tokens:"));
 }
 
-TEST(caller_request_test, a_resend_under_the_same_key_is_the_same_request_on_every_router)
+TEST(caller_request_test, resends_with_the_same_key_get_the_same_request_id)
 {
     CHECK_EQUAL(request_id_of("team", "key"), request_id_of("team", "key"));
     CHECK_TRUE(request_id_of("team", "key") != request_id_of("other", "key"));
     CHECK_TRUE(request_id_of("team", "") != request_id_of("team", ""));
 }
 
-TEST(caller_request_test, no_bytes_end_the_process)
+TEST(caller_request_test, arbitrary_bytes_do_not_crash_the_parser)
 {
     const bool holds = rc::check("random bodies", [] {
         const auto body = *rc::gen::container<std::string>(
@@ -65,9 +65,9 @@
     CHECK_TRUE(holds);
 }
 
-// Printing a value takes stack for each level of it, and a caller's thread has little: a short body
-// of nothing but brackets would end the router with all its streams.
-TEST(caller_request_test, a_body_nested_deeper_than_a_stack_holds_is_refused)
+// Serializing a value takes stack for each nesting level, and a caller thread has little. A short
+// body that consists of brackets only must not crash the router with all its streams.
+TEST(caller_request_test, a_body_nested_too_deeply_is_rejected)
 {
     constexpr std::size_t depth = 1'000'000;
     const std::string deep = std::string(depth, '[') + std::string(depth, ']');
@@ -79,7 +79,7 @@
     CHECK_TRUE(names(deep, "nested"));
 }
 
-TEST(caller_request_test, brackets_in_a_text_are_no_nesting)
+TEST(caller_request_test, brackets_in_strings_do_not_count_as_nesting)
 {
     const std::string text(1000, '[');
     CHECK_EQUAL(
--- a/router/test/engine_attempt_test.cpp
+++ b/router/test/engine_attempt_test.cpp
@@ -83,7 +83,7 @@
     }
 };
 
-TEST(engine_attempt_test, a_stream_with_all_its_tokens_and_its_end_is_finished)
+TEST(engine_attempt_test, a_stream_with_all_tokens_and_its_end_marker_is_finished)
 {
     const auto attempt = this->begin();
     CHECK_TRUE(attempt->on_body(events({token(0), token(1), closing(2), "[DONE]"})));
@@ -92,8 +92,8 @@
     LONGS_EQUAL(2, this->tokens_for_caller());
 }
 
-// The connection ends cleanly after some tokens. Without the end marker the answer is not whole,
-// however well the connection was closed.
+// The connection is closed cleanly after some tokens. Without the end marker the answer is
+// incomplete.
 TEST(engine_attempt_test, a_stream_that_ends_early_is_not_finished)
 {
     const auto attempt = this->begin();
@@ -103,7 +103,7 @@
     LONGS_EQUAL(2, sink.only_end().tokens);
 }
 
-TEST(engine_attempt_test, a_gap_in_the_tokens_ends_the_run_for_good)
+TEST(engine_attempt_test, a_gap_in_the_tokens_fails_the_run)
 {
     const auto attempt = this->begin();
     CHECK_TRUE(attempt->on_body(events({token(0), token(2), closing(3), "[DONE]"})));
@@ -112,7 +112,7 @@
     CHECK_TRUE(sink.only_end().answered_error);
 }
 
-TEST(engine_attempt_test, the_answer_of_another_run_is_not_taken)
+TEST(engine_attempt_test, the_answer_of_another_run_is_rejected)
 {
     const auto attempt = this->begin();
     auto other = token(0);
@@ -123,7 +123,7 @@
     LONGS_EQUAL(0, this->tokens_for_caller());
 }
 
-TEST(engine_attempt_test, tokens_that_a_resumed_stream_repeats_reach_the_caller_once)
+TEST(engine_attempt_test, tokens_repeated_by_a_resumed_stream_reach_the_caller_once)
 {
     CHECK_TRUE(this->begin()->on_body(events({token(0), token(1)})));
     const auto resumed = this->begin(true);
@@ -133,7 +133,7 @@
     LONGS_EQUAL(3, this->tokens_for_caller());
 }
 
-TEST(engine_attempt_test, a_run_that_the_engine_has_forgotten_is_lost)
+TEST(engine_attempt_test, a_run_unknown_to_the_engine_is_lost)
 {
     boost::intrusive_ptr<engine_attempt> resumed(new engine_attempt(sink, caller, run, 1, true));
     resumed->on_head(404, {{"x-not-run", "true"}});
@@ -142,7 +142,7 @@
     CHECK_TRUE(sink.only_end().run_lost);
 }
 
-TEST(engine_attempt_test, a_refusal_that_says_draining_tells_that_the_endpoint_leaves)
+TEST(engine_attempt_test, a_refusal_with_code_draining_marks_the_endpoint_as_leaving)
 {
     boost::intrusive_ptr<engine_attempt> attempt(new engine_attempt(sink, caller, run, 1, false));
     attempt->on_head(503, {{"x-not-run", "true"}});
@@ -152,13 +152,13 @@
     CHECK_TRUE(sink.only_end().endpoint_leaving);
 }
 
-TEST(engine_attempt_test, silence_is_told_from_a_lost_connection)
+TEST(engine_attempt_test, silence_is_distinguished_from_a_lost_connection)
 {
     this->begin()->on_end({http_error::progress_timeout, 200, true});
     CHECK_TRUE(sink.only_end().result == attempt_result::went_silent);
 }
 
-TEST(engine_attempt_test, a_full_ring_holds_the_transfer_back_and_says_so)
+TEST(engine_attempt_test, a_full_ring_pauses_the_transfer_and_sets_its_flag)
 {
     const auto attempt = this->begin();
     int index = 0;
@@ -169,9 +169,9 @@
     LONGS_EQUAL(index, this->tokens_for_caller());
 }
 
-// An endpoint sends JSON whose fields have other types than they should have. The run has failed;
-// the router and all its other streams go on.
-TEST(engine_attempt_test, an_event_with_fields_of_other_types_ends_only_its_run)
+// An endpoint sends JSON with fields of unexpected types. The run fails; the router and its other
+// streams continue.
+TEST(engine_attempt_test, an_event_with_fields_of_wrong_types_fails_only_its_run)
 {
     const std::vector<std::string> odd = {
         R"({"id":5,"index":0})", R"({"id":"run-1","index":-1})", R"({"id":"run-1","index":1e300})",
@@ -186,7 +186,7 @@
     }
 }
 
-TEST(engine_attempt_test, an_error_with_a_code_of_another_type_says_nothing_of_leaving)
+TEST(engine_attempt_test, an_error_code_of_the_wrong_type_does_not_mean_draining)
 {
     for (const auto* const body : {R"({"error":{"code":5}})", R"({"error":[]})", "[", "5"}) {
         this->sink.events.clear();
@@ -200,7 +200,7 @@
     }
 }
 
-TEST(engine_attempt_test, a_load_report_with_a_field_out_of_its_range_is_none)
+TEST(engine_attempt_test, a_load_report_with_a_field_out_of_range_is_rejected)
 {
     const auto load = read_load(R"({"running":2,"queued":1.5,"age_ms":20,"draining":true})", 0);
     CHECK_TRUE(load.has_value());
@@ -215,9 +215,10 @@
     }
 }
 
-// An engine that starts again answers with what its earlier life said, or the list names the new
-// life only after the answer. A report without a life of its own would be believed of either.
-TEST(engine_attempt_test, a_load_report_is_of_the_life_that_it_names_or_else_of_the_one_asked)
+// After an engine restarts, a late report of its previous incarnation may arrive, or the host list
+// may show the new incarnation only after its first report. A report without an incarnation could
+// be attributed to either.
+TEST(engine_attempt_test, a_load_report_without_an_incarnation_is_attributed_to_the_expected_one)
 {
     CHECK_EQUAL(7U, read_load(R"({"running":2,"incarnation":7})", 8)->incarnation);
     CHECK_EQUAL(8U, read_load(R"({"running":2})", 8)->incarnation);
--- a/router/test/event_relay_test.cpp
+++ b/router/test/event_relay_test.cpp
@@ -22,14 +22,15 @@
 
 namespace {
 
-// The first line of the log makes its writer, which stays: made here, it is no test's leak.
+// The first log line allocates the log writer, which is never freed. Creating it here keeps it out
+// of the tests' leak checks.
 const bool log_is_created = [] {
     adapters::log_change("event_relay_tests", {});
     return true;
 }();
 
-// A dialect of few words. Its functions are called right before the relay sends something, so a
-// test that acts in `at` meets the send that follows.
+// A minimal dialect. Its functions are called right before the relay sends something, so that
+// `hook` runs right before the send that follows `hook_point`.
 class hooked_dialect final : public caller_dialect {
 public:
     std::variant<routed_request, local_answer>
@@ -96,7 +97,7 @@
     routed_request prototype;
     decision::duration time_limit = seconds(30);
     decision::duration objective{};
-    std::string hook_point; // where `act` is called
+    std::string hook_point; // the function in which `hook` is called
     std::function<void()> hook;
     mutable int hook_calls = 0;
 
@@ -110,7 +111,7 @@
     }
 };
 
-// Without a team nobody may send anything.
+// A configuration in which only `team` may send requests.
 decision::configuration_ptr make_configuration(const std::string& team = "deposits")
 {
     decision::team deposits;
@@ -153,7 +154,7 @@
     return adapters::write_chunk("id: " + std::to_string(id) + "\ndata: " + text + "\n\n");
 }
 
-// More than the buffers of two connections hold.
+// More than the socket buffers of two connections hold.
 std::string long_stream()
 {
     constexpr int events = 400;
@@ -171,9 +172,9 @@
 
 } // namespace
 
-// A caller, a router and two endpoints on one loop. Each test makes the caller or an endpoint leave
-// at one step of a request and lets the relay be the first to meet it. Whatever the step: nothing
-// is left of the request, its run ends, and the next caller is served.
+// A caller, a relay and two endpoints on one event loop. Each test makes the caller or an endpoint
+// disconnect at one step of a request, so that the relay is the first to encounter it. In every
+// case nothing of the request remains, its run ends, and the next caller is served.
 TEST_GROUP(event_relay)
 {
     adapters::event_loop loop;
@@ -208,7 +209,7 @@
         this->dialect.prototype.kind = work_kind::resumable_stream;
     }
 
-    // With the settings that the test has chosen.
+    // Creates the relay with the settings that the test has chosen.
     void open()
     {
         this->relay = std::make_unique<event_relay>(this->loop, *this->client, *this->dispatcher,
@@ -240,8 +241,8 @@
         return made;
     }
 
-    // The connection that was the `index`th to bring a request to either endpoint; null where there
-    // is none yet.
+    // The connection that brought the request number `index` to either endpoint; null if there is
+    // none yet.
     script_socket* run_at(std::size_t index)
     {
         for (const auto& one : this->endpoints) {
@@ -262,7 +263,7 @@
         return [this, index] { return this->run_at(index) != nullptr; };
     }
 
-    // Whether the first run's bytes have stopped leaving.
+    // Whether the first run's bytes are no longer being sent.
     std::function<bool()> is_blocked()
     {
         return [this, last = std::size_t{0}, checks = 0]() mutable {
@@ -278,7 +279,7 @@
         return [this, part] { return this->caller->has(part); };
     }
 
-    // The operator removes the team of all callers, or brings it back.
+    // The operator removes the team of all callers, or restores it.
     void remove_team()
     {
         this->dispatcher->on_configuration(make_configuration("another"), this->loop.now());
@@ -290,14 +291,14 @@
         this->relay->run_actions();
     }
 
-    // The caller has what it was due; for the next one all is as before.
+    // Disconnects the caller after it got its answer, and restores the team for the next caller.
     void leave()
     {
         this->caller->close();
         this->restore_team();
     }
 
-    // The caller resets right before the relay sends what follows on `place`.
+    // Resets the caller's connection right before the send that follows `place`.
     void reset_at(const std::string& place)
     {
         this->dialect.hook_point = place;
@@ -311,7 +312,7 @@
         return *this->script;
     }
 
-    // Runs the script, then a request of another caller, which is served.
+    // Runs the script, then a request of another caller, which must be served.
     void finish(bool run_ends = true)
     {
         auto& steps = *this->script;
@@ -339,7 +340,7 @@
         CHECK_EQUAL(0, this->dispatcher->in_flight());
     }
 
-    // How often that was sent to either endpoint.
+    // How often requests with this start were sent to either endpoint.
     std::size_t sends_of(const std::string& start)
     {
         std::size_t count = 0;
@@ -355,7 +356,7 @@
         return count;
     }
 
-    // The connection on which the request of the next caller came.
+    // The connection that brought the next caller's request.
     script_socket* next_caller_run()
     {
         for (const auto& one : this->endpoints) {
@@ -371,9 +372,9 @@
     std::vector<script_socket*> runs;
 };
 
-// A stop's end refuses what waits, and the refusal is the first to meet that the caller has reset
-// its connection. Two routers died of it at once, with all their streams.
-TEST(event_relay, a_reset_is_met_by_the_refusal_at_a_stops_end)
+// The end of a stop refuses waiting requests, and the refusal is the first send after the caller
+// has reset its connection. This crashed routers with all their streams.
+TEST(event_relay, caller_reset_before_the_refusal_at_the_end_of_a_stop)
 {
     this->begin().when(this->has_run(0), [this] {
         this->caller->reset();
@@ -383,7 +384,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_the_cut_of_a_stream_at_a_stops_end)
+TEST(event_relay, caller_reset_before_its_stream_is_cut_off_at_the_end_of_a_stop)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -395,7 +396,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_an_answer_of_the_routers_own)
+TEST(event_relay, caller_reset_before_a_local_answer)
 {
     this->reset_at("read");
     this->open();
@@ -403,7 +404,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_while_the_request_is_written_to_its_endpoint_ends_the_run)
+TEST(event_relay, caller_reset_while_the_request_is_sent_ends_the_run)
 {
     this->reset_at("write");
     this->begin();
@@ -411,13 +412,13 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_before_the_answers_head_ends_the_run)
+TEST(event_relay, caller_reset_before_the_answer_head_ends_the_run)
 {
     this->begin().when(this->has_run(0), [this] { this->caller->reset(); });
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_a_plain_answer)
+TEST(event_relay, caller_reset_before_a_plain_answer)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
@@ -426,7 +427,7 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_a_streams_head_and_the_events_that_came_with_it)
+TEST(event_relay, caller_reset_before_a_stream_head_with_events)
 {
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
@@ -435,7 +436,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_a_whole_stream_at_once)
+TEST(event_relay, caller_reset_before_a_complete_stream)
 {
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
@@ -444,8 +445,9 @@
     this->finish(false);
 }
 
-// The endpoint's bytes are ready before the caller's reset is, so the relay meets it in a send.
-TEST(event_relay, a_reset_is_met_between_pieces)
+// The endpoint's bytes arrive before the caller's reset, so the relay encounters the reset in a
+// send.
+TEST(event_relay, caller_reset_between_pieces)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -456,7 +458,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_the_end_of_a_stream)
+TEST(event_relay, caller_reset_before_the_end_of_a_stream)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -467,9 +469,9 @@
     this->finish(false);
 }
 
-// An event that follows no other spoils the run in the same piece that meets the reset: the run is
-// cancelled from within the call that brings its bytes.
-TEST(event_relay, a_reset_is_met_by_a_stream_with_a_gap)
+// An event out of sequence fails the run in the same piece that encounters the reset: the run is
+// cancelled from within the call that delivers its bytes.
+TEST(event_relay, caller_reset_before_a_gap_in_the_stream)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -480,9 +482,9 @@
     this->finish();
 }
 
-// The first endpoint's connection is reset after an event. The caller leaves while another endpoint
-// is asked to go on.
-TEST(event_relay, a_reset_while_another_endpoint_is_asked_to_go_on_ends_that_run)
+// The first endpoint's connection is reset after an event. The caller disconnects while another
+// endpoint is asked to resume the stream.
+TEST(event_relay, caller_reset_while_the_stream_is_resumed_ends_the_new_run)
 {
     this->reset_at("write again");
     this->begin()
@@ -492,7 +494,7 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_the_pieces_of_the_endpoint_that_goes_on)
+TEST(event_relay, caller_reset_before_pieces_of_the_resumed_stream)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -504,7 +506,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_stream_goes_on_at_another_endpoint_for_a_caller_that_stays)
+TEST(event_relay, a_broken_stream_is_resumed_at_another_endpoint)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -515,7 +517,7 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_the_refusal_after_the_endpoints_have_refused)
+TEST(event_relay, caller_reset_before_the_refusal_after_all_endpoints_refused)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("refuse");
@@ -530,7 +532,7 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_an_endpoints_own_failure)
+TEST(event_relay, caller_reset_before_an_endpoints_error_answer)
 {
     this->dialect.prototype.kind = work_kind::at_most_once;
     this->reset_at("pass on");
@@ -540,9 +542,9 @@
     this->finish(false);
 }
 
-// The small model doubts its answer, and the caller leaves while the large one is asked. The first
-// run is dropped from within the call that brings its head.
-TEST(event_relay, a_reset_while_a_larger_model_is_asked_ends_that_run)
+// The small model has low confidence in its answer, and the caller disconnects while the large
+// model is asked. The first run is dropped from within the call that delivers its head.
+TEST(event_relay, caller_reset_while_a_larger_model_is_asked_ends_the_new_run)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
     this->dialect.prototype.models = {"small", "large"};
@@ -556,8 +558,8 @@
     this->finish(false);
 }
 
-// A plain answer too long to be held breaks off in the middle, and its caller has left.
-TEST(event_relay, a_reset_is_met_by_the_cut_of_a_long_plain_answer)
+// A plain answer that is too long to buffer breaks off, and its caller has disconnected.
+TEST(event_relay, caller_reset_before_a_long_plain_answer_breaks_off)
 {
     this->settings.max_buffered = 4;
     this->dialect.prototype.kind = work_kind::idempotent;
@@ -569,8 +571,8 @@
     this->finish(false);
 }
 
-// The endpoint is silent past its time; the caller leaves while another one is asked.
-TEST(event_relay, a_reset_after_an_endpoints_silence_ends_the_next_run)
+// The endpoint times out. The caller disconnects while another endpoint is asked.
+TEST(event_relay, caller_reset_after_an_endpoint_timeout_ends_the_next_run)
 {
     this->settings.min_answer_timeout = milliseconds(5);
     this->settings.liveness_window = milliseconds(0);
@@ -582,7 +584,7 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_the_refusal_at_a_deadline)
+TEST(event_relay, caller_reset_before_the_refusal_at_the_deadline)
 {
     this->dialect.time_limit = milliseconds(30);
     this->reset_at("refuse");
@@ -593,7 +595,7 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_with_a_pipelined_request_ends_both)
+TEST(event_relay, caller_reset_ends_both_pipelined_requests)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
@@ -604,8 +606,8 @@
     this->finish(false);
 }
 
-// The second request is refused by the router itself, in the moment in which the first one's end
-// makes room for it.
+// The router itself refuses the second request, at the moment when the first one ends and makes
+// room for it.
 TEST(event_relay, pipelined_requests_are_answered_in_order)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
@@ -621,9 +623,9 @@
     this->finish(false);
 }
 
-// An endpoint sends an event without an end. The router kept all of it, for ever. Past the bound
-// the run is given up like one that broke off, and another endpoint goes on.
-TEST(event_relay, an_event_without_an_end_does_not_fill_the_memory)
+// An endpoint sends an event without an end, which the router once kept buffering without limit.
+// Beyond the limit the run is given up as broken, and another endpoint resumes the stream.
+TEST(event_relay, an_event_without_an_end_does_not_exhaust_memory)
 {
     this->settings.max_event_size = 1000;
     this->begin()
@@ -639,8 +641,9 @@
     CHECK_FALSE(this->caller->has("xxx"));
 }
 
-// The caller takes nothing until its endpoint is no longer read. Then it takes all.
-TEST(event_relay, a_slow_caller_gets_the_whole_stream)
+// The caller reads nothing until the relay stops reading from the endpoint. Then it reads
+// everything.
+TEST(event_relay, a_slow_caller_gets_the_complete_stream)
 {
     this->settings.max_unsent = 1;
     this->begin()
@@ -655,7 +658,7 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_while_the_endpoint_is_not_read_ends_the_run)
+TEST(event_relay, caller_reset_while_the_endpoint_is_paused_ends_the_run)
 {
     this->settings.max_unsent = 1;
     this->begin()
@@ -664,9 +667,9 @@
     this->finish();
 }
 
-// The caller's request is lost with its endpoint, and its team is gone by then. The caller is told
-// that it may have run, once; the next caller is served by the same router.
-TEST(event_relay, a_request_lost_when_its_team_is_gone_is_refused)
+// The endpoint fails with the caller's request after the caller's team was removed. The caller is
+// told once that the request may have run; the same router serves the next caller.
+TEST(event_relay, a_request_lost_after_its_team_was_removed_is_refused)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
     this->begin()
@@ -680,8 +683,9 @@
     CHECK_EQUAL(1U, this->sends_of("GET /a "));
 }
 
-// The endpoint answers, though badly, and its team is gone. The caller gets the endpoint's answer.
-TEST(event_relay, an_endpoints_own_failure_is_passed_on_when_its_team_is_gone)
+// The endpoint answers with an error after the team was removed. The caller gets the endpoint's
+// answer.
+TEST(event_relay, an_endpoints_error_answer_is_forwarded_after_the_team_was_removed)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
     this->begin()
@@ -694,9 +698,9 @@
     this->finish(false);
 }
 
-// The small model doubts its answer, and its team is gone: no larger model may be asked. The caller
-// gets the answer that there is.
-TEST(event_relay, a_doubted_answer_is_passed_on_when_its_team_is_gone)
+// The small model has low confidence in its answer, and the team was removed, so no larger model
+// may be asked. The caller gets the small model's answer.
+TEST(event_relay, a_low_confidence_answer_is_forwarded_after_the_team_was_removed)
 {
     this->dialect.prototype.kind = work_kind::idempotent;
     this->dialect.prototype.models = {"small", "large"};
@@ -710,8 +714,9 @@
     this->finish(false);
 }
 
-// A stream is half there when its team is removed. It was sent before: the caller gets all of it.
-TEST(event_relay, a_stream_goes_on_to_its_end_when_its_team_is_gone)
+// The team is removed in the middle of a stream. The request was sent before, so the caller gets
+// the complete stream.
+TEST(event_relay, a_stream_completes_after_its_team_was_removed)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -725,9 +730,9 @@
     CHECK_TRUE(this->caller->has("id: 2"));
 }
 
-// As above, but its endpoint is lost: no other one is asked to go on. The caller's connection ends
-// without the stream's end, so that it cannot take the part for the whole.
-TEST(event_relay, a_stream_that_breaks_when_its_team_is_gone_is_cut_off)
+// As above, but the endpoint is lost and no other one may resume the stream. The caller's
+// connection ends without the end of the stream, so that the caller notices that it is incomplete.
+TEST(event_relay, a_stream_that_breaks_after_its_team_was_removed_is_cut_off)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -742,9 +747,9 @@
     CHECK_EQUAL(1U, this->sends_of("GET /a "));
 }
 
-// The caller waits, as the router cannot tell whether its configuration is in force. The one that
-// is in force has no place for the caller: it is refused once that is known, and never sent.
-TEST(event_relay, a_waiting_request_is_refused_unrun_when_its_team_is_gone)
+// The request waits because the router cannot confirm its configuration. The configuration that is
+// then confirmed does not allow the caller: the request is refused and never sent.
+TEST(event_relay, a_waiting_request_is_refused_as_not_run_after_its_team_was_removed)
 {
     this->dispatcher->on_touch(this->loop.now(), this->loop.now());
     this->begin()
@@ -759,10 +764,10 @@
     CHECK_EQUAL(0U, this->sends_of("GET /a "));
 }
 
-// Half of the caller's request is there when its team is removed and the bounds of requests are
-// lowered. It is taken whole, by what is in force when it ends: a refusal, and not a closed
-// connection.
-TEST(event_relay, a_request_that_is_being_read_in_a_change_is_answered)
+// The team is removed and the request limits are lowered when half of the request has arrived. The
+// router still reads it completely and applies the configuration in force at its end: the caller
+// gets a refusal instead of a closed connection.
+TEST(event_relay, a_request_being_read_during_a_configuration_change_is_answered)
 {
     this->open();
     this->caller->send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nhalf");
@@ -785,8 +790,8 @@
     CHECK_EQUAL(0U, this->sends_of("POST /a "));
 }
 
-// The router ends with a stream under way, and a loss that nobody has been told of.
-TEST(event_relay, a_router_may_end_with_a_loss_untold)
+// The relay is destroyed with a stream in flight and a caller's reset that was not delivered yet.
+TEST(event_relay, the_relay_may_be_destroyed_with_an_undelivered_caller_reset)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
--- a/router/test/event_splitter_test.cpp
+++ b/router/test/event_splitter_test.cpp
@@ -11,7 +11,7 @@
     event_splitter splitter;
 };
 
-TEST(event_splitter, gives_whole_events_byte_for_byte)
+TEST(event_splitter, returns_complete_events_byte_for_byte)
 {
     const auto events = this->splitter.feed("id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n");
     LONGS_EQUAL(2, events.size());
@@ -21,7 +21,7 @@
     LONGS_EQUAL(2, *events[1].id);
 }
 
-TEST(event_splitter, keeps_a_part_until_the_rest_comes)
+TEST(event_splitter, keeps_a_partial_event_until_it_is_complete)
 {
     std::size_t events = 0;
     for (const char byte : std::string("id: 7\ndata: x\n\nid: 8")) {
@@ -31,7 +31,7 @@
     CHECK_TRUE(this->splitter.has_part());
 }
 
-TEST(event_splitter, an_event_may_carry_no_number)
+TEST(event_splitter, an_event_may_have_no_numeric_id)
 {
     const auto events = this->splitter.feed(": comment\n\nid: x\n\n");
     LONGS_EQUAL(2, events.size());
--- a/router/test/exchange_test.cpp
+++ b/router/test/exchange_test.cpp
@@ -39,7 +39,8 @@
         }
     }
 
-    // The piece waits for the caller, and is taken once when the caller has taken something.
+    // The piece is refused while the ring is full, and accepted once after the caller has taken an
+    // event.
     void check_backpressure(pearhaven::adapters::http_listener & attempt, const std::string& piece)
     {
         this->fill();
@@ -48,16 +49,17 @@
         CHECK_TRUE(this->caller->paused.load());
         CHECK_EQUAL(size_before, this->caller->events.size());
         static_cast<void>(this->caller->events.pop_for(std::chrono::seconds(0)));
-        this->caller->paused.store(false); // by the caller's thread, which resumes the transfer
+        this->caller->paused.store(
+            false); // as the caller's thread does before it resumes the transfer
         CHECK_TRUE(attempt.on_body(piece));
         CHECK_FALSE(this->caller->paused.load());
         CHECK_EQUAL(size_before, this->caller->events.size());
     }
 };
 
-// A caller reads slowly, and its ring is full. A piece that was pushed all the same would be lost
-// without a word; a transfer that waits without its flag would never go on.
-TEST(exchange_test, an_engines_piece_waits_where_the_caller_has_no_room)
+// A slow caller's ring is full. A piece pushed anyway would be lost silently, and a transfer that
+// pauses without setting its flag would never resume.
+TEST(exchange_test, an_engines_piece_waits_while_the_ring_is_full)
 {
     const boost::intrusive_ptr<engine_attempt> attempt(
         new engine_attempt(this->sink, this->caller, new engine_run("run-1", "m"), 1, false));
@@ -65,7 +67,7 @@
     check_backpressure(*attempt, token);
 }
 
-TEST(exchange_test, a_services_piece_waits_where_the_caller_has_no_room)
+TEST(exchange_test, a_services_piece_waits_while_the_ring_is_full)
 {
     const boost::intrusive_ptr<service_attempt> attempt(
         new service_attempt(this->sink, this->caller, 1));
--- a/router/test/pace_meter_test.cpp
+++ b/router/test/pace_meter_test.cpp
@@ -19,8 +19,8 @@
     }
 };
 
-// One piece waited for another caller's prompt, one came together with the piece before it.
-TEST(pace_meter, single_long_and_short_gaps_do_not_move_the_pace)
+// One piece was delayed by another caller's prompt, and one arrived together with its predecessor.
+TEST(pace_meter, outliers_do_not_change_the_pace)
 {
     for (const int pause : {0, 20, 900, 20, 0, 21, 22, 20}) {
         CHECK_FALSE(piece_after(pause));
@@ -29,7 +29,7 @@
     CHECK_TRUE(milliseconds(20) == *meter.on_piece(now));
 }
 
-TEST(pace_meter, the_pace_is_told_once)
+TEST(pace_meter, the_pace_is_reported_once)
 {
     for (int piece = 0; piece < 8; ++piece) {
         CHECK_FALSE(piece_after(20));
@@ -39,7 +39,7 @@
     CHECK_FALSE(meter.at_end().has_value());
 }
 
-TEST(pace_meter, a_short_stream_tells_its_pace_at_its_end_and_a_shorter_one_none)
+TEST(pace_meter, a_short_stream_reports_its_pace_at_its_end_if_it_has_enough_gaps)
 {
     piece_after(0);
     piece_after(20);
--- a/router/test/parser_fuzz_test.cpp
+++ b/router/test/parser_fuzz_test.cpp
@@ -41,11 +41,11 @@
 
 } // namespace
 
-// A parser that crashes ends a router with all its streams; one that reads the same bytes in two
-// ways, by how the network happened to cut them, gives a caller another answer.
+// A parser that crashes ends the router with all its streams. A parser whose result depends on how
+// the network fragments the stream gives callers different answers.
 TEST_GROUP(router_parser_fuzz){};
 
-TEST(router_parser_fuzz, events_come_out_alike_however_they_are_split)
+TEST(router_parser_fuzz, events_do_not_depend_on_how_the_stream_is_split)
 {
     const auto wrong =
         first_fault(streams, 2'000, [](const std::string& bytes, byte_mutator& mutator) {
@@ -68,7 +68,7 @@
     CHECK_EQUAL(std::string(), wrong);
 }
 
-TEST(router_parser_fuzz, data_of_events_comes_out_alike_however_it_is_split)
+TEST(router_parser_fuzz, event_data_does_not_depend_on_how_the_stream_is_split)
 {
     const auto wrong =
         first_fault(streams, 2'000, [](const std::string& bytes, byte_mutator& mutator) {
@@ -95,7 +95,8 @@
     for (const auto& example : examples) {
         CHECK_TRUE(std::holds_alternative<chat_body>(read_chat(example)));
     }
-    // What is passed on is good JSON again, so that an endpoint reads what the router has read.
+    // The forwarded body must be valid JSON again, so that an endpoint can parse what the router
+    // parsed.
     const auto wrong = first_fault(examples, 1'000, [](const std::string& bytes, byte_mutator&) {
         const auto read = read_chat(bytes);
         const auto* const chat = std::get_if<chat_body>(&read);
@@ -105,7 +106,7 @@
     CHECK_EQUAL(std::string(), wrong);
 }
 
-TEST(router_parser_fuzz, events_of_engines)
+TEST(router_parser_fuzz, engine_events)
 {
     const std::vector<std::string> examples = {
         R"({"id":"r","index":0,"model":"m","choices":[{"delta":{"content":"x"},"finish_reason":null}]})",
@@ -128,7 +129,7 @@
     CHECK_EQUAL(std::string(), wrong);
 }
 
-// A flag sets a variable for the whole process, which is set back after the test.
+// A flag sets a process-wide variable, which is restored after the test.
 TEST(router_parser_fuzz, settings_on_the_command_line)
 {
     IGNORE_ALL_LEAKS_IN_TEST();
--- a/router/test/peer_messenger_test.cpp
+++ b/router/test/peer_messenger_test.cpp
@@ -6,14 +6,14 @@
 
 TEST_GROUP(peer_messenger){};
 
-TEST(peer_messenger, a_peer_reads_as_it_was_written)
+TEST(peer_messenger, a_peer_survives_a_round_trip)
 {
     const pearhaven::coordination::peer_router where{"10.1.0.40", 7340, "osu"};
     STRCMP_EQUAL("10.1.0.40:7340 osu", write_peer(where).c_str());
     CHECK_TRUE(where == *read_peer(write_peer(where)));
 }
 
-TEST(peer_messenger, a_text_that_names_no_address_is_no_peer)
+TEST(peer_messenger, malformed_addresses_are_rejected)
 {
     for (const auto* const text : {"", "osu", ":7340 osu", "10.1.0.40: osu", "10.1.0.40:0 osu",
                                    "10.1.0.40:70000 osu", "10.1.0.40:73x osu"}) {
--- a/router/test/request_claim_test.cpp
+++ b/router/test/request_claim_test.cpp
@@ -40,7 +40,7 @@
     recording_sink fleet;
 };
 
-TEST(request_claim, a_granted_claim_is_told_how_the_request_ended)
+TEST(request_claim, a_granted_claim_is_settled_with_the_outcome)
 {
     const exchange_ptr request(new exchange);
     request->push(granted());
@@ -61,11 +61,10 @@
     CHECK_TRUE(request->claim_abandoned.load());
 }
 
-// A paused router wakes after the caller's thread has lost patience, and the claim is granted at
-// that same moment. The fleet thread, told that the caller has left, closes the claim as not run;
-// if the caller's thread took the grant all the same, a resend elsewhere would run the request
-// again.
-TEST(request_claim, a_claim_granted_while_it_is_dropped_never_runs)
+// A stalled router resumes after the claim has timed out in the caller's thread, and the claim is
+// granted at that moment. The fleet thread closes the abandoned claim as not run. If the caller's
+// thread used the grant anyway, a resend elsewhere would run the request again.
+TEST(request_claim, a_claim_granted_while_it_is_abandoned_never_runs)
 {
     int taken_after_close = 0;
     for (int round = 0; round < 500; ++round) {
--- a/router/test/settings_test.cpp
+++ b/router/test/settings_test.cpp
@@ -17,7 +17,7 @@
 }
 ;
 
-TEST(settings_test, good_settings_have_no_fault)
+TEST(settings_test, valid_settings_have_no_faults)
 {
     LONGS_EQUAL(0, check_settings(good()).size());
 }
@@ -27,7 +27,7 @@
     LONGS_EQUAL(5, check_settings(router_settings{}).size());
 }
 
-TEST(settings_test, a_fault_names_the_setting_what_was_found_and_what_is_allowed)
+TEST(settings_test, a_fault_names_the_setting_the_value_found_and_the_allowed_range)
 {
     auto settings = good();
     settings.caller_threads = 1;
@@ -35,7 +35,7 @@
                 check_settings(settings).at(0));
 }
 
-TEST(settings_test, a_secret_is_not_shown_in_its_fault)
+TEST(settings_test, faults_do_not_reveal_secrets)
 {
     auto settings = good();
     settings.operator_key = "short";
--- a/router/test/sse_reader_test.cpp
+++ b/router/test/sse_reader_test.cpp
@@ -12,27 +12,27 @@
 
 TEST_GROUP(sse_reader_test){};
 
-TEST(sse_reader_test, an_event_comes_out_once_its_empty_line_has_come)
+TEST(sse_reader_test, an_event_is_returned_at_its_empty_line)
 {
     sse_reader reader;
     LONGS_EQUAL(0, reader.feed("data: one\n").size());
     CHECK_TRUE(reader.feed("\n") == std::vector<std::string>{"one"});
 }
 
-TEST(sse_reader_test, comments_and_other_fields_are_passed_over)
+TEST(sse_reader_test, comments_and_other_fields_are_ignored)
 {
     sse_reader reader;
     CHECK_TRUE(reader.feed(": waiting\n\nevent: x\nid: 7\ndata: one\r\n\r\n") ==
                std::vector<std::string>{"one"});
 }
 
-TEST(sse_reader_test, several_data_lines_make_one_event)
+TEST(sse_reader_test, multiple_data_lines_form_one_event)
 {
     sse_reader reader;
     CHECK_TRUE(reader.feed("data: one\ndata: two\n\n") == std::vector<std::string>{"one\ntwo"});
 }
 
-TEST(sse_reader_test, an_event_over_the_bound_stops_the_reader)
+TEST(sse_reader_test, an_oversized_event_stops_the_reader)
 {
     sse_reader reader;
     const std::string line(sse_reader::max_event + 1, 'x');
@@ -40,8 +40,8 @@
     CHECK_TRUE(reader.is_overflowing());
 }
 
-// Networks cut a stream anywhere; the caller must see the same events whatever the cuts.
-TEST(sse_reader_test, cuts_of_the_stream_do_not_change_its_events)
+// The network may fragment a stream anywhere; the events must not depend on it.
+TEST(sse_reader_test, fragmentation_does_not_change_the_events)
 {
     const std::string stream =
         "data: one\n\n: note\ndata: two\ndata: three\r\n\r\ndata: [DONE]\n\n";
