--- a/router/include/pearhaven/router/caller_dialect.hpp
+++ b/router/include/pearhaven/router/caller_dialect.hpp
@@ -21,8 +21,7 @@
     decision::work_kind kind = decision::work_kind::at_most_once;
     std::uint64_t last_event = 0;    // last event of the stream that the caller received; 0: none
     std::vector<std::string> models; // smallest first; empty: the request names its own model
-    decision::duration
-        longest_pause{}; // maximum gap between two events of a stream; zero: no limit
+    decision::duration longest_pause{}; // maximum gap between events of a stream; zero: no limit
 
     friend bool operator==(const routed_request&, const routed_request&) = default;
 };
--- a/router/include/pearhaven/router/peer_messenger.hpp
+++ b/router/include/pearhaven/router/peer_messenger.hpp
@@ -76,8 +76,8 @@
     coordination::peer_exchange exchange;
     coordination::watch_share share;
     coordination::watch_mode mode = coordination::watch_mode::alone;
-    coordination::store_revision forwarded_revision = 0; // last revision sent to the other routers
-    decision::instant forwarded_confirmation; // time of the last store response that was forwarded
+    coordination::store_revision forwarded_revision = 0; // last one sent to the other routers
+    decision::instant forwarded_confirmation; // time of the last forwarded store response
     std::unique_ptr<adapters::peer_link> link;
 };
 
--- a/router/include/pearhaven/router/settings.hpp
+++ b/router/include/pearhaven/router/settings.hpp
@@ -15,8 +15,7 @@
     std::uint16_t caller_port = 8080;
     std::uint16_t operator_port = 0;
     std::uint16_t peer_port = 0;
-    std::vector<std::string>
-        peers; // IP:port of routers to ask if the store is unreachable at start
+    std::vector<std::string> peers; // IP:port of routers to ask if the store is unreachable
 
     std::string key_value_url;
     std::string host_list_url;
@@ -30,8 +29,7 @@
     std::chrono::milliseconds longest_deadline{600000};
 
     std::chrono::milliseconds connect_timeout{1000};
-    std::chrono::milliseconds first_byte_timeout{
-        1500}; // after it, the run is resumed over a fresh connection
+    std::chrono::milliseconds first_byte_timeout{1500}; // then resumes on a fresh connection
     std::chrono::milliseconds progress_timeout{1500};
     std::chrono::milliseconds service_timeout{30000};
 
--- a/router/src/caller_request.cpp
+++ b/router/src/caller_request.cpp
@@ -164,11 +164,11 @@
     if (!chat.contains("messages") || !chat["messages"].is_array() || chat["messages"].empty()) {
         return "messages: found no list of messages, allowed is one or more";
     }
-    const auto whole =
+    const auto messages_valid =
         std::all_of(chat["messages"].begin(), chat["messages"].end(), [](const json& message) {
             return message.is_object() && message.contains("role") && message.contains("content");
         });
-    if (!whole) {
+    if (!messages_valid) {
         return "messages: found one without role or content";
     }
     if (chat.contains("stream") && !chat["stream"].is_boolean()) {
--- a/router/src/caller_server.cpp
+++ b/router/src/caller_server.cpp
@@ -19,9 +19,12 @@
 // Threads beyond the limit of concurrent callers, which refuse further callers at once.
 constexpr std::uint32_t spare_threads = 16;
 
-constexpr int request_handled = 1; // any value above 0 tells CivetWeb that the request was handled
-constexpr std::size_t affinity_prefix =
-    512; // bytes at the start of the prompt that engines likely cache
+// Any value above 0 tells CivetWeb that the request was handled.
+constexpr int request_handled = 1;
+
+// Bytes at the start of the prompt that engines are likely to cache.
+constexpr std::size_t affinity_prefix = 512;
+
 constexpr std::string_view services_prefix = "/services/";
 
 int on_malformed(mg_connection* connection, int status, const char* message)
@@ -59,9 +62,9 @@
 };
 
 caller_server::caller_server(const caller_server_dependencies& all_dependencies)
-    : dependencies(all_dependencies)
+    : deps(all_dependencies)
 {
-    const auto& settings = this->dependencies.settings;
+    const auto& settings = this->deps.settings;
     const auto listen = settings.host + ":" + std::to_string(settings.caller_port);
     const auto threads = std::to_string(settings.caller_threads + spare_threads);
     const auto timeout = std::to_string(settings.caller_read_timeout.count());
@@ -138,8 +141,8 @@
 
 int caller_server::refuse(mg_connection* connection, const error_response& response)
 {
-    this->dependencies.counts.add("pearhaven_turned_away_total",
-                                  {{"status", std::to_string(response.status)}});
+    this->deps.counts.add("pearhaven_turned_away_total",
+                          {{"status", std::to_string(response.status)}});
     // Closing the connection avoids reading the rest of an unwanted body.
     send_failure(connection, response, {{"Connection", "close"}});
     mg_disable_connection_keep_alive(connection);
@@ -149,7 +152,7 @@
 std::optional<caller_server::admitted> caller_server::admit(mg_connection* connection,
                                                             std::size_t position)
 {
-    if (position > this->dependencies.settings.caller_threads) {
+    if (position > this->deps.settings.caller_threads) {
         this->refuse(connection,
                      to_error_response(retryable_failure(decision::failure_code::overloaded,
                                                          "this router has too many callers")));
@@ -162,7 +165,7 @@
     }
     admitted caller;
     caller.fields = std::get<caller_fields>(std::move(fields));
-    caller.configuration = this->dependencies.configuration.get();
+    caller.configuration = this->deps.configuration.get();
     if (!caller.configuration) {
         this->refuse(connection,
                      to_error_response(retryable_failure(decision::failure_code::not_in_touch,
@@ -175,7 +178,7 @@
                                                 "Authorization: found no key of a team"));
         return std::nullopt;
     }
-    auto body = read_body(connection, this->dependencies.settings.max_body_bytes);
+    auto body = read_body(connection, this->deps.settings.max_body_bytes);
     if (const auto* fault = std::get_if<error_response>(&body)) {
         this->refuse(connection, *fault);
         return std::nullopt;
@@ -198,7 +201,7 @@
 
 decision::instant caller_server::deadline_of(const caller_fields& fields) const
 {
-    const auto& settings = this->dependencies.settings;
+    const auto& settings = this->deps.settings;
     return now() +
            std::min(fields.deadline.value_or(settings.default_deadline), settings.longest_deadline);
 }
@@ -207,7 +210,7 @@
                              const exchange_ptr& request)
 {
     routing_event event = request_arrived{std::move(arrival), request};
-    if (this->dependencies.routing.offer(event)) {
+    if (this->deps.routing.offer(event)) {
         return true;
     }
     this->refuse(connection,
@@ -274,10 +277,10 @@
         return headers;
     };
     if (read.streamed) {
-        streamed_chat relay(connection, request, this->dependencies.client);
+        streamed_chat relay(connection, request, this->deps.client);
         this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
     } else {
-        collected_chat relay(connection, request, this->dependencies.client);
+        collected_chat relay(connection, request, this->deps.client);
         this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
     }
 }
@@ -292,7 +295,7 @@
         return decision::session{adapters::random_identifier(), caller.team->name, asked, ""};
     }
     auto bound = decision::open_session(token, caller.configuration->session_keys(),
-                                        this->dependencies.session_keys);
+                                        this->deps.session_keys);
     if (!bound || bound->team != caller.team->name) {
         return std::nullopt;
     }
@@ -302,7 +305,7 @@
 std::string caller_server::seal(const admitted& caller, const decision::session& session) const
 {
     const auto newest = caller.configuration->session_keys().front();
-    return decision::seal_session(session, newest, this->dependencies.session_keys);
+    return decision::seal_session(session, newest, this->deps.session_keys);
 }
 
 // Claims the request if necessary, passes it to the dispatcher and writes the answer.
@@ -310,7 +313,7 @@
                           const exchange_ptr& request, decision::arrival arrival,
                           answer_relay& relay, const answer_relay::version_headers& headers_of)
 {
-    request_claim claim(this->dependencies.fleet, request);
+    request_claim claim(this->deps.fleet, request);
     if (!this->acquire_claim(connection, claim, caller.fields, request->idempotent)) {
         return;
     }
@@ -341,7 +344,7 @@
                            request_claim& claim, const relay_end& end, const std::string& kind)
 {
     if (end.caller_gone) {
-        this->dependencies.routing.submit(caller_gone{request->ticket});
+        this->deps.routing.submit(caller_gone{request->ticket});
         claim.settle(decision::run_state::unknown, end.outcome);
     } else {
         claim.settle(end.completed ? decision::run_state::ran : end.why.run, end.outcome);
@@ -353,13 +356,13 @@
                                : end.caller_gone ? "caller_gone"
                                                  : "failed";
     const adapters::metric_labels labels = {{"team", request->team}, {"class", kind}};
-    this->dependencies.counts.add("pearhaven_requests_total",
-                                  {{"team", request->team}, {"class", kind}, {"result", result}});
+    this->deps.counts.add("pearhaven_requests_total",
+                          {{"team", request->team}, {"class", kind}, {"result", result}});
     const auto total = std::chrono::steady_clock::now() - request->arrived_at;
-    this->dependencies.counts.observe("pearhaven_request_seconds", labels,
-                                      std::chrono::duration_cast<std::chrono::microseconds>(total));
+    this->deps.counts.observe("pearhaven_request_seconds", labels,
+                              std::chrono::duration_cast<std::chrono::microseconds>(total));
     if (end.first_piece.count() > 0) {
-        this->dependencies.counts.observe("pearhaven_first_token_seconds", labels, end.first_piece);
+        this->deps.counts.observe("pearhaven_first_token_seconds", labels, end.first_piece);
     }
 }
 
@@ -412,7 +415,7 @@
     const auto headers_of = [&](const std::string& /*target*/) {
         return header_list{{"Pearhaven-Request", request->request_id}};
     };
-    service_answer relay(connection, request, this->dependencies.client);
+    service_answer relay(connection, request, this->deps.client);
     this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
 }
 
--- a/router/src/caller_server.hpp
+++ b/router/src/caller_server.hpp
@@ -90,7 +90,7 @@
                                                  const std::string& method);
     int refuse(mg_connection* connection, const error_response& response);
 
-    caller_server_dependencies dependencies;
+    caller_server_dependencies deps;
     std::atomic<std::size_t> active{0};
     std::atomic<decision::ticket_number> next_ticket{1};
     mg_context* context = nullptr;
--- a/router/src/fleet_worker.cpp
+++ b/router/src/fleet_worker.cpp
@@ -73,7 +73,7 @@
             static_cast<std::uint16_t>(std::stoul(text.substr(colon + 1)))};
 }
 
-// Returns 0, which quarantines no request, for a subject that is not a number. such a fact does not
+// Returns 0, which quarantines no request, for a subject that is not a number: such a fact does not
 // come from one of this fleet's routers.
 std::uint64_t fingerprint_of(const coordination::fact& fact)
 {
@@ -271,17 +271,17 @@
 {
     const auto current = this->deps.configuration.get();
     const auto stored = this->replica.current();
-    rollout_context scene;
-    scene.current = current.get();
-    scene.stored = stored.get();
-    scene.facts = &this->facts;
-    scene.live.insert(this->deps.incarnation);
+    rollout_context context;
+    context.current = current.get();
+    context.stored = stored.get();
+    context.facts = &this->facts;
+    context.live.insert(this->deps.incarnation);
     if (this->rollouts.holds_duty()) { // the long list is copied only when it is needed
         for (const auto& one : this->fleet->live()) {
-            scene.live.insert(one.id);
+            context.live.insert(one.id);
         }
     }
-    this->rollouts.on_tick(scene, now());
+    this->rollouts.on_tick(context, now());
 }
 
 void fleet_worker::handle(store_replied& event)
--- a/router/src/relayed_request.hpp
+++ b/router/src/relayed_request.hpp
@@ -46,11 +46,10 @@
     bool began = false;            // part of the answer was sent to the caller
     decision::instant first_piece; // when the answer began
     decision::instant last_piece;
-    decision::duration longest_pause{}; // between two pieces, for the log
-    std::uint64_t last_event = 0;       // last event sent to the caller
-    std::optional<local_answer>
-        failed_answer;   // an endpoint's error answer, used if no attempt succeeds
-    std::string history; // attempts so far, for the log
+    decision::duration longest_pause{};        // between two pieces, for the log
+    std::uint64_t last_event = 0;              // last event sent to the caller
+    std::optional<local_answer> failed_answer; // an endpoint's, used if no attempt succeeds
+    std::string history;                       // attempts so far, for the log
 };
 
 } // namespace pearhaven::router
--- a/router/src/router.cpp
+++ b/router/src/router.cpp
@@ -213,8 +213,8 @@
     // The load balancer needs a moment to notice that this router is not ready. New work that it
     // sends until then is still accepted, so that a graceful stop refuses nobody.
     wait_until([] { return false; }, this->settings.quiet_before_close);
-    this->routing.submit(
-        drain_begun{{now(), end}}); // stops new work early if `stop_now` ended the wait
+    // Stops new work early if `stop_now` ended the wait.
+    this->routing.submit(drain_begun{{now(), end}});
     wait_until(
         [this] { return this->callers.in_flight() == 0 && this->fleet.view().bills_waiting == 0; },
         this->settings.longest_drain);
--- a/router/src/settings.cpp
+++ b/router/src/settings.cpp
@@ -11,33 +11,34 @@
 #include <utility>
 
 DEFINE_string(zone, "", "availability zone of this host");
-DEFINE_string(host, "127.0.0.1", "IP number that peers and operators reach this router at");
+DEFINE_string(host, "127.0.0.1", "IP address for peers and operators");
 DEFINE_uint32(caller_port, 8080, "port for callers; 0: any free one");
 DEFINE_uint32(operator_port, 0, "port for operators and metrics; 0: any free one");
 DEFINE_uint32(peer_port, 0, "port for other routers; 0: any free one");
 DEFINE_string(peers, "",
-              "IP:port of other routers, separated by commas, for a start during a store outage");
+              "comma-separated IP:port of other routers, for a start during a store outage");
 DEFINE_string(key_value_url, "", "base URL of the key-value service");
 DEFINE_string(host_list_url, "", "base URL of the host list");
 DEFINE_string(fleet_key_file, "",
               "file with the key that all routers share (or PEARHAVEND_FLEET_KEY)");
 DEFINE_string(operator_key_file, "", "file with the operators' key (or PEARHAVEND_OPERATOR_KEY)");
 DEFINE_uint32(caller_threads, 512, "concurrent callers");
-DEFINE_uint32(max_body_bytes, 4U << 20U, "largest request body");
-DEFINE_uint32(caller_read_timeout_ms, 10000, "longest time for a request to arrive whole");
-DEFINE_uint32(default_deadline_ms, 60000, "deadline of requests that state none");
-DEFINE_uint32(longest_deadline_ms, 600000, "latest deadline that a request may state");
-DEFINE_uint32(connect_timeout_ms, 1000, "longest time for a connection to an endpoint");
+DEFINE_uint32(max_body_bytes, 4U << 20U, "maximum size of a request body");
+DEFINE_uint32(caller_read_timeout_ms, 10000, "maximum time to receive a complete request");
+DEFINE_uint32(default_deadline_ms, 60000, "deadline of requests that specify none");
+DEFINE_uint32(longest_deadline_ms, 600000, "maximum deadline that a request may specify");
+DEFINE_uint32(connect_timeout_ms, 1000, "timeout for connecting to an endpoint");
 DEFINE_uint32(first_byte_timeout_ms, 1500,
-              "silence before a run is asked for over a fresh connection");
-DEFINE_uint32(progress_timeout_ms, 1500, "longest silence in an answer that has begun");
-DEFINE_uint32(service_timeout_ms, 30000, "longest silence of a plain service");
-DEFINE_uint32(store_timeout_ms, 2000, "longest wait for the key-value service");
-DEFINE_uint32(host_list_period_ms, 1000, "time between two reads of the host list");
-DEFINE_uint32(load_period_ms, 500, "time between two load reports of an endpoint");
+              "silence before a run is resumed over a fresh connection");
+DEFINE_uint32(progress_timeout_ms, 1500, "maximum silence in an answer that has begun");
+DEFINE_uint32(service_timeout_ms, 30000, "maximum silence of a plain service");
+DEFINE_uint32(store_timeout_ms, 2000, "timeout for calls to the key-value service");
+DEFINE_uint32(host_list_period_ms, 1000, "interval between reads of the host list");
+DEFINE_uint32(load_period_ms, 500, "interval between load reports of an endpoint");
 DEFINE_uint32(member_lease_ms, 10000, "lease of this router's membership record");
-DEFINE_uint32(quiet_before_close_ms, 500, "time between not ready and closed listeners at a stop");
-DEFINE_uint32(longest_drain_ms, 600000, "longest time that a stop waits for requests in flight");
+DEFINE_uint32(quiet_before_close_ms, 500,
+              "delay between reporting not ready and closing the listeners");
+DEFINE_uint32(longest_drain_ms, 600000, "maximum time that a stop waits for requests in flight");
 DEFINE_string(log_format, "text", "text or json");
 
 namespace pearhaven::router {
@@ -195,7 +196,7 @@
            "http://127.0.0.1:7001\n\n"
            "Each flag can also be set in the environment as PEARHAVEND_NAME, the two keys only "
            "there or by file.\n"
-           "Exit status: 0 after a stop that cut off nothing, 1 otherwise, 2 for faulty "
+           "Exit status: 0 after a stop that cut off nothing, 1 otherwise, 2 for invalid "
            "settings.\n\n" +
            adapters::describe_flags("router/src/settings.cpp");
 }
@@ -208,8 +209,8 @@
     parsed.flag_faults = flags.faults;
     parsed.faults = std::move(flags.faults);
     auto& faults = parsed.faults;
-    for (const auto& word : flags.positional) {
-        faults.push_back("command line: found \"" + word + "\", allowed are flags only");
+    for (const auto& argument : flags.positional) {
+        faults.push_back("command line: found \"" + argument + "\", allowed are flags only");
     }
     auto& settings = parsed.settings;
     settings.zone = FLAGS_zone;
--- a/router/test/event_relay_test.cpp
+++ b/router/test/event_relay_test.cpp
@@ -292,7 +292,7 @@
     }
 
     // Disconnects the caller after it got its answer, and restores the team for the next caller.
-    void leave()
+    void disconnect_caller()
     {
         this->caller->close();
         this->restore_team();
@@ -678,7 +678,7 @@
                   this->remove_team();
                   this->run_at(0)->reset();
               })
-        .when(this->caller_has("refused, may have run"), [this] { this->leave(); });
+        .when(this->caller_has("refused, may have run"), [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_EQUAL(1U, this->sends_of("GET /a "));
 }
@@ -694,7 +694,7 @@
                   this->remove_team();
                   this->run_at(0)->send("HTTP/1.1 500 X\r\nContent-Length: 3\r\n\r\nbad");
               })
-        .when(this->caller_has(" 500 "), [this] { this->leave(); });
+        .when(this->caller_has(" 500 "), [this] { this->disconnect_caller(); });
     this->finish(false);
 }
 
@@ -710,7 +710,7 @@
                   this->remove_team();
                   this->run_at(0)->send(complete_answer("doubted", "Poor: yes\r\n"));
               })
-        .when(this->caller_has("doubted"), [this] { this->leave(); });
+        .when(this->caller_has("doubted"), [this] { this->disconnect_caller(); });
     this->finish(false);
 }
 
@@ -725,7 +725,7 @@
                   this->remove_team();
                   this->run_at(0)->send(event(2) + stream_end());
               })
-        .when(this->caller_has(stream_end()), [this] { this->leave(); });
+        .when(this->caller_has(stream_end()), [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_TRUE(this->caller->has("id: 2"));
 }
@@ -741,7 +741,7 @@
                   this->remove_team();
                   this->run_at(0)->reset();
               })
-        .when([this] { return this->caller->is_ended(); }, [this] { this->leave(); });
+        .when([this] { return this->caller->is_ended(); }, [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_FALSE(this->caller->has(stream_end()));
     CHECK_EQUAL(1U, this->sends_of("GET /a "));
@@ -759,7 +759,7 @@
                   this->dispatcher->on_touch(decision::instant::max(), this->loop.now());
                   this->relay->run_actions();
               })
-        .when(this->caller_has("refused, not run"), [this] { this->leave(); });
+        .when(this->caller_has("refused, not run"), [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_EQUAL(0U, this->sends_of("GET /a "));
 }
@@ -784,7 +784,7 @@
                })
         .when(this->caller_has("refused, not run"), [this] {
             this->callers->set_limits({});
-            this->leave();
+            this->disconnect_caller();
         });
     this->finish(false);
     CHECK_EQUAL(0U, this->sends_of("POST /a "));
--- a/router/test/exchange_test.cpp
+++ b/router/test/exchange_test.cpp
@@ -49,8 +49,8 @@
         CHECK_TRUE(this->caller->paused.load());
         CHECK_EQUAL(size_before, this->caller->events.size());
         static_cast<void>(this->caller->events.pop_for(std::chrono::seconds(0)));
-        this->caller->paused.store(
-            false); // as the caller's thread does before it resumes the transfer
+        // As the caller thread does before it resumes the transfer.
+        this->caller->paused.store(false);
         CHECK_TRUE(attempt.on_body(piece));
         CHECK_FALSE(this->caller->paused.load());
         CHECK_EQUAL(size_before, this->caller->events.size());
--- a/router/test/parser_fuzz_test.cpp
+++ b/router/test/parser_fuzz_test.cpp
@@ -120,11 +120,11 @@
     CHECK_TRUE(read_load(examples[3], 1).has_value());
     const auto wrong = first_fault(examples, 1'000, [](const std::string& bytes, byte_mutator&) {
         engine_run run("r", "m");
-        std::vector<std::string> told;
-        const bool taken = run.take(bytes, told);
+        std::vector<std::string> for_caller;
+        const bool taken = run.take(bytes, for_caller);
         static_cast<void>(is_draining_error(bytes));
         const auto load = read_load(bytes, 1);
-        return (taken || told.empty()) && (!load || load->running >= 0.0);
+        return (taken || for_caller.empty()) && (!load || load->running >= 0.0);
     });
     CHECK_EQUAL(std::string(), wrong);
 }
