--- a/router/include/pearhaven/router/caller_dialect.hpp
+++ b/router/include/pearhaven/router/caller_dialect.hpp
@@ -85,7 +85,7 @@
 
     // The header fields of an endpoint's answer that are forwarded to the caller.
     [[nodiscard]] virtual adapters::http_fields
-    pass_on(const adapters::http_response_head& head) const = 0;
+    forwarded_fields(const adapters::http_response_head& head) const = 0;
 
     [[nodiscard]] virtual local_answer refuse(const routed_request& request,
                                               const decision::failure& why) const = 0;
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -326,7 +326,7 @@
         this->begin_answer(relayed);
         relayed.caller->end();
     } else {
-        relayed.caller->answer(status, this->dialect.pass_on(relayed.attempt.head),
+        relayed.caller->answer(status, this->dialect.forwarded_fields(relayed.attempt.head),
                                relayed.attempt.buffered);
     }
     this->log_end(relayed, "answered", status);
@@ -434,7 +434,7 @@
         relayed.first_piece = this->loop.now();
         relayed.last_piece = relayed.first_piece;
         relayed.caller->begin(relayed.attempt.head.status,
-                              this->dialect.pass_on(relayed.attempt.head));
+                              this->dialect.forwarded_fields(relayed.attempt.head));
     }
 }
 
@@ -478,8 +478,8 @@
 void event_relay::state::keep_failed_answer(relayed_request& relayed) const
 {
     const auto& current = relayed.attempt;
-    relayed.failed_answer =
-        local_answer{current.head.status, this->dialect.pass_on(current.head), current.buffered};
+    relayed.failed_answer = local_answer{
+        current.head.status, this->dialect.forwarded_fields(current.head), current.buffered};
 }
 
 void event_relay::state::on_end(ticket_number ticket, decision::attempt_number attempt)
--- a/router/test/event_relay_test.cpp
+++ b/router/test/event_relay_test.cpp
@@ -80,7 +80,8 @@
         return facts;
     }
 
-    adapters::http_fields pass_on(const adapters::http_response_head& /*head*/) const override
+    adapters::http_fields
+    forwarded_fields(const adapters::http_response_head& /*head*/) const override
     {
         this->on_call("pass on");
         return {};
