--- a/router/include/pearhaven/router/event_relay.hpp
+++ b/router/include/pearhaven/router/event_relay.hpp
@@ -38,16 +38,16 @@
     // Consecutive timeouts without a piece after which even an endpoint that is alive is given up.
     std::uint32_t max_silences = 3;
 
-    // Bytes of one answer that the caller has not received yet. Above this the relay stops reading
-    // from the endpoint.
+    // Maximum bytes of one answer that the caller has not received yet. Above this the relay stops
+    // reading from the endpoint.
     std::size_t max_unsent = 64U << 10U;
 
-    // Bytes of an unfinished event of a stream. An event holds a few pieces of text; one that never
-    // ends would exhaust the memory.
+    // Maximum bytes of an unfinished event of a stream. An event holds a few pieces of text; one
+    // that never ends would exhaust the memory.
     std::size_t max_event_size = 1U << 20U;
 
-    // Bytes of a plain answer that are buffered so that the request can be retried at another
-    // endpoint if the answer breaks off.
+    // Maximum bytes of a plain answer that are buffered so that the request can be retried at
+    // another endpoint if the answer breaks off.
     std::size_t max_buffered = 256U << 10U;
 };
 
--- a/router/src/answer_relay.cpp
+++ b/router/src/answer_relay.cpp
@@ -264,7 +264,7 @@
 
 // The head of the service's answer has been sent and the rest will not come. Closing the connection
 // in the middle of a chunked answer shows the caller that it is incomplete.
-bool service_answer::on_failure_midway(const error_response& /*form*/)
+bool service_answer::on_failure_midway(const error_response& /*response*/)
 {
     return false;
 }
--- a/router/src/fleet_worker.cpp
+++ b/router/src/fleet_worker.cpp
@@ -271,17 +271,17 @@
 {
     const auto current = this->deps.configuration.get();
     const auto stored = this->replica.current();
-    rollout_context context;
-    context.current = current.get();
-    context.stored = stored.get();
-    context.facts = &this->facts;
-    context.live.insert(this->deps.incarnation);
+    rollout_inputs inputs;
+    inputs.current = current.get();
+    inputs.stored = stored.get();
+    inputs.facts = &this->facts;
+    inputs.live.insert(this->deps.incarnation);
     if (this->rollouts.holds_duty()) { // the long list is copied only when it is needed
         for (const auto& one : this->fleet->live()) {
-            context.live.insert(one.id);
+            inputs.live.insert(one.id);
         }
     }
-    this->rollouts.on_tick(context, now());
+    this->rollouts.on_tick(inputs, now());
 }
 
 void fleet_worker::handle(store_replied& event)
@@ -351,7 +351,7 @@
 void fleet_worker::carry_out(fleet_part /*part*/, const coordination::fact_learned& action)
 {
     using coordination::fact_kind;
-    using standing = decision::suspect_table::standing;
+    using status = decision::suspect_table::standing;
     const auto& fact = action.learned;
     if (fact.author == this->deps.incarnation) {
         return;
@@ -362,10 +362,10 @@
             endpoint_leaving_reported{fact.subject, static_cast<std::uint64_t>(fact.value)});
         break;
     case fact_kind::request_quarantined:
-        this->routing->submit(suspect_status_reported{fingerprint_of(fact), standing::quarantined});
+        this->routing->submit(suspect_status_reported{fingerprint_of(fact), status::quarantined});
         break;
     case fact_kind::request_suspect:
-        this->routing->submit(suspect_status_reported{fingerprint_of(fact), standing::suspect});
+        this->routing->submit(suspect_status_reported{fingerprint_of(fact), status::suspect});
         break;
     case fact_kind::version_tripped:
         this->routing->submit(
--- a/router/src/http_reply.cpp
+++ b/router/src/http_reply.cpp
@@ -19,7 +19,7 @@
     int status;
 };
 
-code_mapping to_error_response(failure_code code)
+code_mapping mapping_of(failure_code code)
 {
     switch (code) {
     case failure_code::unknown_model:
@@ -138,7 +138,7 @@
 
 error_response to_error_response(const decision::failure& why)
 {
-    const auto mapping = to_error_response(why.code);
+    const auto mapping = mapping_of(why.code);
     error_response response;
     response.status = mapping.status;
     response.body = error_body(mapping.name, why.detail, name_of(why.run), why.resend);
--- a/router/src/rollout_controller.cpp
+++ b/router/src/rollout_controller.cpp
@@ -37,20 +37,20 @@
     return chosen;
 }
 
-std::uint64_t sum_of(const rollout_context& context, const std::string& subject, bool of_live_only)
+std::uint64_t sum_of(const rollout_inputs& inputs, const std::string& subject, bool of_live_only)
 {
     std::uint64_t sum = 0;
-    for (const auto& reported : context.facts->about(fact_kind::exposure_spent, subject)) {
-        if (!of_live_only || context.live.count(reported.author) > 0) {
+    for (const auto& reported : inputs.facts->about(fact_kind::exposure_spent, subject)) {
+        if (!of_live_only || inputs.live.count(reported.author) > 0) {
             sum += static_cast<std::uint64_t>(reported.value);
         }
     }
     return sum;
 }
 
-bool is_tripped(const rollout& plan, const rollout_context& context)
+bool is_tripped(const rollout& plan, const rollout_inputs& inputs)
 {
-    const auto reported = context.facts->about(fact_kind::version_tripped, plan.to);
+    const auto reported = inputs.facts->about(fact_kind::version_tripped, plan.to);
     return std::any_of(reported.begin(), reported.end(), [&plan](const coordination::fact& one) {
         return static_cast<std::uint64_t>(one.value) == plan.run;
     });
@@ -77,10 +77,10 @@
 
 // The stored object with some fields of its spec replaced; nothing if it is not stored or cannot be
 // parsed.
-std::optional<config_object> edited_object(const rollout_context& context, const std::string& kind,
+std::optional<config_object> edited_object(const rollout_inputs& inputs, const std::string& kind,
                                            const std::string& name, const json& fields)
 {
-    const auto* const stored = context.stored->find(kind, name);
+    const auto* const stored = inputs.stored->find(kind, name);
     if (stored == nullptr) {
         return std::nullopt;
     }
@@ -92,17 +92,17 @@
     return config_object{kind, name, body.dump()};
 }
 
-json fields_after(const rollout& plan, rollout_move move, const rollout_context& context)
+json fields_after(const rollout& plan, rollout_move move, const rollout_inputs& inputs)
 {
     switch (move) {
     case rollout_move::begin:
     case rollout_move::renew:
         return {{"state", "running"},
                 {"step", plan.step},
-                {"run", context.stored->revision() + 1},
-                {"routers", context.live.size()}};
+                {"run", inputs.stored->revision() + 1},
+                {"routers", inputs.live.size()}};
     case rollout_move::advance:
-        return {{"step", plan.step + 1}, {"routers", context.live.size()}};
+        return {{"step", plan.step + 1}, {"routers", inputs.live.size()}};
     case rollout_move::finish:
         return {{"state", "done"}};
     case rollout_move::roll_back:
@@ -130,7 +130,7 @@
     : seed(random_seed), head_codec(heads), duty(duty_settings(self, random_seed), duties, now)
 {}
 
-void rollout_controller::on_tick(const rollout_context& context, decision::instant now)
+void rollout_controller::on_tick(const rollout_inputs& inputs, decision::instant now)
 {
     this->duty.on_tick(now);
     if (this->writer) {
@@ -139,64 +139,64 @@
     this->collect();
     if (!this->writer && now >= this->next_evaluation) {
         this->next_evaluation = now + evaluation_period;
-        this->evaluate(context, now);
+        this->evaluate(inputs, now);
         this->collect();
     }
 }
 
-void rollout_controller::evaluate(const rollout_context& context, decision::instant now)
+void rollout_controller::evaluate(const rollout_inputs& inputs, decision::instant now)
 {
-    const bool is_ready = context.current != nullptr && this->duty.may_order(now) &&
-                          context.current->revision() == context.stored->revision() &&
-                          context.stored->revision() >= this->awaited_revision;
+    const bool is_ready = inputs.current != nullptr && this->duty.may_order(now) &&
+                          inputs.current->revision() == inputs.stored->revision() &&
+                          inputs.stored->revision() >= this->awaited_revision;
     if (!is_ready) {
         return;
     }
-    for (const auto& [name, plan] : context.current->rollouts()) {
-        const auto next = this->judge.judge(plan, observe(plan, context), now);
+    for (const auto& [name, plan] : inputs.current->rollouts()) {
+        const auto next = this->judge.judge(plan, observe(plan, inputs), now);
         if (next != rollout_move::stay) {
-            this->apply(plan, next, context, now);
+            this->apply(plan, next, inputs, now);
             return; // one change at a time
         }
     }
 }
 
 decision::rollout_sight rollout_controller::observe(const rollout& plan,
-                                                    const rollout_context& context)
+                                                    const rollout_inputs& inputs)
 {
     const auto subject = [&plan](const char* what) {
         return rollout_subject(plan.name, plan.run, what);
     };
     decision::rollout_sight observation;
-    observation.seen.good = sum_of(context, subject(good_outcomes), false);
-    observation.seen.bad = sum_of(context, subject(bad_outcomes), false);
-    observation.left = sum_of(context, subject(remaining_callers), true);
-    observation.tripped = is_tripped(plan, context);
+    observation.seen.good = sum_of(inputs, subject(good_outcomes), false);
+    observation.seen.bad = sum_of(inputs, subject(bad_outcomes), false);
+    observation.left = sum_of(inputs, subject(remaining_callers), true);
+    observation.tripped = is_tripped(plan, inputs);
     return observation;
 }
 
-void rollout_controller::apply(const rollout& plan, rollout_move next,
-                               const rollout_context& context, decision::instant now)
+void rollout_controller::apply(const rollout& plan, rollout_move next, const rollout_inputs& inputs,
+                               decision::instant now)
 {
     coordination::config_edit edit;
     edit.write_id = adapters::random_identifier();
     edit.author = "rollout " + plan.name;
     edit.unix_ms = unix_ms();
-    edit.seen_revision = context.stored->revision();
+    edit.seen_revision = inputs.stored->revision();
     const auto object =
-        edited_object(context, "rollout", plan.name, fields_after(plan, next, context));
+        edited_object(inputs, "rollout", plan.name, fields_after(plan, next, inputs));
     if (!object) {
         return;
     }
     edit.objects.push_back(*object);
-    const auto* const version = context.current->find_version(plan.to);
+    const auto* const version = inputs.current->find_version(plan.to);
     if (next == rollout_move::roll_back && version != nullptr && !version->withdrawn) {
         if (const auto withdrawn =
-                edited_object(context, "version", plan.to, {{"withdrawn", true}})) {
+                edited_object(inputs, "version", plan.to, {{"withdrawn", true}})) {
             edit.objects.push_back(*withdrawn);
         }
     }
-    const auto observation = observe(plan, context);
+    const auto observation = observe(plan, inputs);
     adapters::log_change("rollout_moving", {{"rollout", plan.name},
                                             {"move", name_of(next)},
                                             {"step", std::to_string(plan.step)},
--- a/router/src/rollout_controller.hpp
+++ b/router/src/rollout_controller.hpp
@@ -19,7 +19,7 @@
 namespace pearhaven::router {
 
 // The state that the controller decides on, at one moment.
-struct rollout_context {
+struct rollout_inputs {
     const decision::configuration* current = nullptr;
     const coordination::config_state* stored = nullptr; // the same configuration, as stored
     const coordination::fact_table* facts = nullptr;
@@ -41,7 +41,7 @@
                        const coordination::config_head_codec& heads, decision::instant now);
 
     void set_candidate(bool candidate) { this->duty.set_candidate(candidate); }
-    void on_tick(const rollout_context& context, decision::instant now);
+    void on_tick(const rollout_inputs& inputs, decision::instant now);
     void on_reply(coordination::call_tag tag, const coordination::kv_reply& reply,
                   decision::instant now);
     [[nodiscard]] std::vector<action> take_actions();
@@ -58,11 +58,11 @@
         coordination::call_tag tag = 0;
     };
 
-    void evaluate(const rollout_context& context, decision::instant now);
+    void evaluate(const rollout_inputs& inputs, decision::instant now);
     [[nodiscard]] static decision::rollout_sight observe(const decision::rollout& plan,
-                                                         const rollout_context& context);
+                                                         const rollout_inputs& inputs);
     void apply(const decision::rollout& plan, decision::rollout_move next,
-               const rollout_context& context, decision::instant now);
+               const rollout_inputs& inputs, decision::instant now);
     void collect();
     void submit_call(std::uint64_t writer_number, const coordination::store_call& call);
     void on_written(const coordination::config_write_done& done);
--- a/router/src/routing_event.hpp
+++ b/router/src/routing_event.hpp
@@ -52,7 +52,7 @@
 
 struct suspect_status_reported {
     std::uint64_t fingerprint = 0;
-    decision::suspect_table::standing standing = decision::suspect_table::standing::clear;
+    decision::suspect_table::standing status = decision::suspect_table::standing::clear;
 };
 
 // Another router's evidence has stopped an attempt to roll out the version.
--- a/router/src/routing_worker.cpp
+++ b/router/src/routing_worker.cpp
@@ -164,7 +164,7 @@
 
 void routing_worker::handle(suspect_status_reported& event)
 {
-    this->dispatcher.on_standing_told(event.fingerprint, event.standing, now());
+    this->dispatcher.on_standing_told(event.fingerprint, event.status, now());
 }
 
 void routing_worker::handle(fleet_changed& event)
@@ -344,12 +344,12 @@
 
 void routing_worker::carry_out(const decision::announce_standing& action)
 {
-    using standing = decision::suspect_table::standing;
-    if (action.standing == standing::clear) {
+    using status = decision::suspect_table::standing;
+    if (action.standing == status::clear) {
         return;
     }
     coordination::fact fact;
-    fact.kind = action.standing == standing::quarantined
+    fact.kind = action.standing == status::quarantined
                     ? coordination::fact_kind::request_quarantined
                     : coordination::fact_kind::request_suspect;
     fact.subject = std::to_string(action.fingerprint);
--- a/router/test/event_relay_test.cpp
+++ b/router/test/event_relay_test.cpp
@@ -374,7 +374,7 @@
 };
 
 // The end of a stop refuses waiting requests, and the refusal is the first send after the caller
-// has reset its connection. This crashed routers with all their streams.
+// has reset its connection. This once crashed two routers with all their streams.
 TEST(event_relay, caller_reset_before_the_refusal_at_the_end_of_a_stop)
 {
     this->begin().when(this->has_run(0), [this] {
