--- a/router/src/caller_server.cpp
+++ b/router/src/caller_server.cpp
@@ -16,23 +16,25 @@
 
 namespace {
 
-// Threads beyond the callers' bound, which turn further callers away at once.
+// Threads beyond the limit of concurrent callers, which refuse further callers at once.
 constexpr std::uint32_t spare_threads = 16;
 
-constexpr int closes_connection =
-    1; // any status above 0 tells CivetWeb that the request was handled
-constexpr std::size_t affinity_prefix =
-    512; // bytes of the prompt's beginning that engines likely cache
+// Any value above 0 tells CivetWeb that the request was handled.
+constexpr int request_handled = 1;
+
+// Bytes at the start of the prompt that engines are likely to cache.
+constexpr std::size_t affinity_prefix = 512;
+
 constexpr std::string_view services_prefix = "/services/";
 
 int on_malformed(mg_connection* connection, int status, const char* message)
 {
-    const auto form = turned_away(status, "bad_request", message == nullptr ? "" : message);
-    send_failure(connection, form, {{"Connection", "close"}});
+    const auto response = make_rejection(status, "bad_request", message == nullptr ? "" : message);
+    send_failure(connection, response, {{"Connection", "close"}});
     return 0;
 }
 
-decision::failure not_run_for_now(decision::failure_code code, std::string detail)
+decision::failure retryable_failure(decision::failure_code code, std::string detail)
 {
     return {code, decision::run_state::not_run, true, std::chrono::seconds(1), std::move(detail)};
 }
@@ -44,24 +46,25 @@
 
 } // namespace
 
-// Counts a caller from its request to its answer's end.
+// Counts a caller from the arrival of its request to the end of its answer.
 class caller_server::active_guard {
 public:
-    explicit active_guard(std::atomic<std::size_t>& counted) : count(counted), place(++counted) {}
+    explicit active_guard(std::atomic<std::size_t>& counted) : count(counted), ordinal(++counted) {}
     ~active_guard() { --this->count; }
     active_guard(const active_guard&) = delete;
     active_guard& operator=(const active_guard&) = delete;
 
-    [[nodiscard]] std::size_t position() const { return this->place; }
+    [[nodiscard]] std::size_t position() const { return this->ordinal; }
 
 private:
     std::atomic<std::size_t>& count;
-    std::size_t place;
+    std::size_t ordinal;
 };
 
-caller_server::caller_server(const caller_ports& all_ports) : ports(all_ports)
+caller_server::caller_server(const caller_server_dependencies& all_dependencies)
+    : deps(all_dependencies)
 {
-    const auto& settings = this->ports.settings;
+    const auto& settings = this->deps.settings;
     const auto listen = settings.host + ":" + std::to_string(settings.caller_port);
     const auto threads = std::to_string(settings.caller_threads + spare_threads);
     const auto timeout = std::to_string(settings.caller_read_timeout.count());
@@ -113,68 +116,70 @@
 int caller_server::handle_chat(mg_connection* connection, void* self)
 {
     static_cast<caller_server*>(self)->serve_chat(connection);
-    return closes_connection;
+    return request_handled;
 }
 
 int caller_server::handle_models(mg_connection* connection, void* self)
 {
     static_cast<caller_server*>(self)->serve_models(connection);
-    return closes_connection;
+    return request_handled;
 }
 
 int caller_server::handle_service(mg_connection* connection, void* self)
 {
     static_cast<caller_server*>(self)->serve_service(connection);
-    return closes_connection;
+    return request_handled;
 }
 
 int caller_server::handle_unknown(mg_connection* connection, void* self)
 {
     return static_cast<caller_server*>(self)->refuse(
         connection,
-        turned_away(status_not_found, "unknown_path",
-                    "allowed are /v1/chat/completions, /v1/models and /services/NAME/"));
+        make_rejection(status_not_found, "unknown_path",
+                       "allowed are /v1/chat/completions, /v1/models and /services/NAME/"));
 }
 
-int caller_server::refuse(mg_connection* connection, const failure_form& form)
+int caller_server::refuse(mg_connection* connection, const error_response& response)
 {
-    this->ports.counts.add("pearhaven_turned_away_total",
-                           {{"status", std::to_string(form.status)}});
-    // Closing spares reading what is left of a body that is not wanted.
-    send_failure(connection, form, {{"Connection", "close"}});
+    this->deps.counts.add("pearhaven_turned_away_total",
+                          {{"status", std::to_string(response.status)}});
+    // Closing the connection avoids reading the rest of an unwanted body.
+    send_failure(connection, response, {{"Connection", "close"}});
     mg_disable_connection_keep_alive(connection);
-    return form.status;
+    return response.status;
 }
 
 std::optional<caller_server::admitted> caller_server::admit(mg_connection* connection,
                                                             std::size_t position)
 {
-    if (position > this->ports.settings.caller_threads) {
-        this->refuse(connection, form_of(not_run_for_now(decision::failure_code::overloaded,
+    if (position > this->deps.settings.caller_threads) {
+        this->refuse(connection,
+                     to_error_response(retryable_failure(decision::failure_code::overloaded,
                                                          "this router has too many callers")));
         return std::nullopt;
     }
     auto fields = read_fields(connection);
-    if (const auto* fault = std::get_if<failure_form>(&fields)) {
+    if (const auto* fault = std::get_if<error_response>(&fields)) {
         this->refuse(connection, *fault);
         return std::nullopt;
     }
     admitted caller;
     caller.fields = std::get<caller_fields>(std::move(fields));
-    caller.configuration = this->ports.configuration.get();
+    caller.configuration = this->deps.configuration.get();
     if (!caller.configuration) {
-        this->refuse(connection, form_of(not_run_for_now(decision::failure_code::config_unconfirmed,
+        this->refuse(connection,
+                     to_error_response(retryable_failure(decision::failure_code::config_unconfirmed,
                                                          "no configuration has come yet")));
         return std::nullopt;
     }
     caller.team = caller.configuration->find_team_by_key(caller.fields.key_digest);
     if (caller.team == nullptr) {
-        this->refuse(connection, turned_away(status_unauthorized, "unknown_key",
-                                             "Authorization: found no key of a team"));
+        this->refuse(connection, make_rejection(status_unauthorized, "unknown_key",
+                                                "Authorization: found no key of a team"));
         return std::nullopt;
     }
-    auto body = read_body(connection, this->ports.settings.max_body_bytes);
-    if (const auto* fault = std::get_if<failure_form>(&body)) {
+    auto body = read_body(connection, this->deps.settings.max_body_bytes);
+    if (const auto* fault = std::get_if<error_response>(&body)) {
         this->refuse(connection, *fault);
         return std::nullopt;
     }
@@ -196,24 +201,25 @@
 
 decision::instant caller_server::deadline_of(const caller_fields& fields) const
 {
-    const auto& settings = this->ports.settings;
+    const auto& settings = this->deps.settings;
     return now() +
            std::min(fields.deadline.value_or(settings.default_deadline), settings.longest_deadline);
 }
 
-bool caller_server::hand_on(mg_connection* connection, decision::arrival arrival,
-                            const exchange_ptr& request)
+bool caller_server::dispatch(mg_connection* connection, decision::arrival arrival,
+                             const exchange_ptr& request)
 {
     routing_event event = request_arrived{std::move(arrival), request};
-    if (this->ports.routing.offer(event)) {
+    if (this->deps.routing.offer(event)) {
         return true;
     }
-    this->refuse(connection, form_of(not_run_for_now(decision::failure_code::overloaded,
+    this->refuse(connection,
+                 to_error_response(retryable_failure(decision::failure_code::overloaded,
                                                      "this router has too many events waiting")));
     return false;
 }
 
-// What the dispatcher is told of every request, whatever it asks for.
+// Fills in the fields of an arrival that all kinds of requests have.
 decision::arrival caller_server::arrival_of(const admitted& from, const exchange_ptr& request) const
 {
     decision::arrival arrival;
@@ -235,16 +241,16 @@
         return;
     }
     auto chat = read_chat(caller->body);
-    if (const auto* fault = std::get_if<failure_form>(&chat)) {
+    if (const auto* fault = std::get_if<error_response>(&chat)) {
         this->refuse(connection, *fault);
         return;
     }
     const auto& read = std::get<chat_body>(chat);
-    auto session = this->read_session(*caller, read.asked);
+    auto session = this->read_session(*caller, read.requested_model);
     if (!session) {
         this->refuse(connection,
-                     turned_away(status_bad_request, "bad_session",
-                                 "Pearhaven-Session: found a token that is not this team's"));
+                     make_rejection(status_bad_request, "bad_session",
+                                    "Pearhaven-Session: found a token that is not this team's"));
         return;
     }
     const auto request = this->make_exchange(*caller);
@@ -253,11 +259,11 @@
     request->body = read.rest;
 
     auto arrival = this->arrival_of(*caller, request);
-    arrival.asked = read.asked;
+    arrival.asked = read.requested_model;
     arrival.work =
         decision::estimate_work(read.prompt.size(), read.max_tokens, caller->fields.kind);
     arrival.prefix_hash = decision::fingerprint("", "", read.prompt.substr(0, affinity_prefix));
-    arrival.fingerprint = decision::fingerprint(request->team, read.asked, read.rest);
+    arrival.fingerprint = decision::fingerprint(request->team, read.requested_model, read.rest);
     if (!session->version.empty()) {
         arrival.bound = *session;
     }
@@ -271,16 +277,16 @@
         return headers;
     };
     if (read.streamed) {
-        streamed_chat relay(connection, request, this->ports.client);
+        streamed_chat relay(connection, request, this->deps.client);
         this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
     } else {
-        collected_chat relay(connection, request, this->ports.client);
+        collected_chat relay(connection, request, this->deps.client);
         this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
     }
 }
 
-// The session that the caller names: a new one has no version yet. Nothing for a token that is
-// forged, or another team's.
+// The session that the caller names. A new session has no version yet. Returns nothing for a token
+// that is forged or belongs to another team.
 std::optional<decision::session> caller_server::read_session(const admitted& caller,
                                                              const std::string& asked) const
 {
@@ -289,7 +295,7 @@
         return decision::session{adapters::random_identifier(), caller.team->name, asked, ""};
     }
     auto bound = decision::open_session(token, caller.configuration->session_keys(),
-                                        this->ports.session_keys);
+                                        this->deps.session_keys);
     if (!bound || bound->team != caller.team->name) {
         return std::nullopt;
     }
@@ -299,37 +305,37 @@
 std::string caller_server::seal(const admitted& caller, const decision::session& session) const
 {
     const auto newest = caller.configuration->session_keys().front();
-    return decision::seal_session(session, newest, this->ports.session_keys);
+    return decision::seal_session(session, newest, this->deps.session_keys);
 }
 
-// Claims the request if need be, hands it to the dispatcher, and writes its answer.
+// Claims the request if necessary, passes it to the dispatcher and writes the answer.
 void caller_server::serve(mg_connection* connection, const admitted& caller,
                           const exchange_ptr& request, decision::arrival arrival,
                           answer_relay& relay, const answer_relay::version_headers& headers_of)
 {
-    request_claim claim(this->ports.fleet, request);
-    if (!this->is_claimed(connection, claim, caller.fields, request->idempotent)) {
+    request_claim claim(this->deps.fleet, request);
+    if (!this->acquire_claim(connection, claim, caller.fields, request->idempotent)) {
         return;
     }
     const auto kind = class_name(arrival.work.kind);
-    if (!this->hand_on(connection, std::move(arrival), request)) {
+    if (!this->dispatch(connection, std::move(arrival), request)) {
         return;
     }
     const auto end = relay.run(headers_of);
     this->finish(connection, request, claim, end, kind);
 }
 
-// A request without a key cannot be told from another one; the dispatcher alone sees to it that
-// this send of it runs at most once.
-bool caller_server::is_claimed(mg_connection* connection, request_claim& claim,
-                               const caller_fields& fields, bool idempotent)
+// Requests without an idempotency key cannot be distinguished, so they are not claimed. The
+// dispatcher then only ensures that this send runs at most once.
+bool caller_server::acquire_claim(mg_connection* connection, request_claim& claim,
+                                  const caller_fields& fields, bool idempotent)
 {
     if (idempotent || fields.idempotency_key.empty()) {
         return true;
     }
-    const auto refused = claim.take(fields.idempotency_key);
+    const auto refused = claim.acquire(fields.idempotency_key);
     if (refused) {
-        this->refuse(connection, form_of(*refused));
+        this->refuse(connection, to_error_response(*refused));
     }
     return !refused;
 }
@@ -338,7 +344,7 @@
                            request_claim& claim, const relay_end& end, const std::string& kind)
 {
     if (end.caller_gone) {
-        this->ports.routing.submit(caller_gone{request->ticket});
+        this->deps.routing.submit(caller_gone{request->ticket});
         claim.settle(decision::run_state::unknown, end.outcome);
     } else {
         claim.settle(end.completed ? decision::run_state::ran : end.why.run, end.outcome);
@@ -350,13 +356,13 @@
                                : end.caller_gone ? "caller_gone"
                                                  : "failed";
     const adapters::metric_labels labels = {{"team", request->team}, {"class", kind}};
-    this->ports.counts.add("pearhaven_requests_total",
-                           {{"team", request->team}, {"class", kind}, {"result", result}});
-    const auto whole = std::chrono::steady_clock::now() - request->arrived_at;
-    this->ports.counts.observe("pearhaven_request_seconds", labels,
-                               std::chrono::duration_cast<std::chrono::microseconds>(whole));
+    this->deps.counts.add("pearhaven_requests_total",
+                          {{"team", request->team}, {"class", kind}, {"result", result}});
+    const auto total = std::chrono::steady_clock::now() - request->arrived_at;
+    this->deps.counts.observe("pearhaven_request_seconds", labels,
+                              std::chrono::duration_cast<std::chrono::microseconds>(total));
     if (end.first_piece.count() > 0) {
-        this->ports.counts.observe("pearhaven_first_token_seconds", labels, end.first_piece);
+        this->deps.counts.observe("pearhaven_first_token_seconds", labels, end.first_piece);
     }
 }
 
@@ -385,7 +391,7 @@
         return;
     }
     const auto* info = mg_get_request_info(connection);
-    // The path as the caller wrote it: the decoded one could not be sent on.
+    // The path as the caller encoded it, since a decoded path could not be forwarded.
     const auto path = std::string(info->request_uri).substr(services_prefix.size());
     const auto name = path.substr(0, path.find('/'));
     const auto request = this->make_exchange(*caller);
@@ -409,18 +415,18 @@
     const auto headers_of = [&](const std::string& /*target*/) {
         return header_list{{"Pearhaven-Request", request->request_id}};
     };
-    service_answer relay(connection, request, this->ports.client);
+    service_answer relay(connection, request, this->deps.client);
     this->serve(connection, *caller, request, std::move(arrival), relay, headers_of);
 }
 
-// The configuration wins over what the caller says, but for one way: a caller may always ask for
-// more care.
+// The configuration takes precedence over the caller's header, except that a caller may always
+// declare its call as not idempotent.
 bool caller_server::is_idempotent_call(const admitted& caller, const std::string& service_name,
                                        const std::string& method)
 {
     const auto found = caller.configuration->services().find(service_name);
     if (found == caller.configuration->services().end()) {
-        return true; // it is refused for its name
+        return true; // the unknown service is refused later
     }
     const auto& repeatable = found->second.idempotent_methods;
     const bool by_method =
--- a/router/src/caller_server.hpp
+++ b/router/src/caller_server.hpp
@@ -22,8 +22,8 @@
 
 namespace pearhaven::router {
 
-// What the callers' threads need of the rest of the router. All of it outlives the server.
-struct caller_ports {
+// What the server uses of the rest of the router. All of it must outlive the server.
+struct caller_server_dependencies {
     const router_settings& settings;
     const published<decision::configuration_ptr>& configuration;
     const decision::token_authenticator& session_keys;
@@ -33,22 +33,22 @@
     adapters::metrics& counts;
 };
 
-// The callers' side: a CivetWeb server with a thread for each caller in flight.
+// Serves callers over HTTP with CivetWeb, one thread per caller in flight.
 class caller_server {
 public:
-    // Throws std::system_error when the port cannot be listened on.
-    explicit caller_server(const caller_ports& all_ports);
+    // Throws std::system_error if the port cannot be listened on.
+    explicit caller_server(const caller_server_dependencies& all_dependencies);
     ~caller_server();
     caller_server(const caller_server&) = delete;
     caller_server& operator=(const caller_server&) = delete;
 
-    // The port that callers reach.
+    // The port that callers connect to.
     [[nodiscard]] std::uint16_t port() const;
 
-    // Requests whose caller has not had the answer's end yet.
+    // Requests whose answer has not been sent completely.
     [[nodiscard]] std::size_t in_flight() const { return this->active.load(); }
 
-    // Closes the listener and ends the threads; requests in flight are cut off.
+    // Closes the listener and stops the threads. Requests in flight are cut off.
     void stop();
 
 private:
@@ -66,8 +66,8 @@
     static int handle_unknown(mg_connection* connection, void* self);
 
     [[nodiscard]] std::optional<admitted> admit(mg_connection* connection, std::size_t position);
-    bool is_claimed(mg_connection* connection, request_claim& claim, const caller_fields& fields,
-                    bool idempotent);
+    bool acquire_claim(mg_connection* connection, request_claim& claim, const caller_fields& fields,
+                       bool idempotent);
     [[nodiscard]] decision::arrival arrival_of(const admitted& from,
                                                const exchange_ptr& request) const;
     [[nodiscard]] std::optional<decision::session> read_session(const admitted& caller,
@@ -81,15 +81,16 @@
     void serve_service(mg_connection* connection);
     [[nodiscard]] exchange_ptr make_exchange(const admitted& from);
     [[nodiscard]] decision::instant deadline_of(const caller_fields& fields) const;
-    bool hand_on(mg_connection* connection, decision::arrival arrival, const exchange_ptr& request);
+    bool dispatch(mg_connection* connection, decision::arrival arrival,
+                  const exchange_ptr& request);
     void finish(mg_connection* connection, const exchange_ptr& request, request_claim& claim,
                 const relay_end& end, const std::string& kind);
     [[nodiscard]] static bool is_idempotent_call(const admitted& caller,
                                                  const std::string& service_name,
                                                  const std::string& method);
-    int refuse(mg_connection* connection, const failure_form& form);
+    int refuse(mg_connection* connection, const error_response& response);
 
-    caller_ports ports;
+    caller_server_dependencies deps;
     std::atomic<std::size_t> active{0};
     std::atomic<decision::ticket_number> next_ticket{1};
     mg_context* context = nullptr;
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -20,14 +20,14 @@
 using decision::duration;
 using decision::ticket_number;
 
-// Of a broken stream, whose head has gone to the caller.
+// Logged status of a stream that broke off after its head was sent to the caller.
 constexpr int status_ok = 200;
 
-// Endpoints of which the last sign of life is kept.
-constexpr std::size_t most_heard = 4096;
+// Maximum number of endpoints whose last activity is remembered.
+constexpr std::size_t max_tracked_endpoints = 4096;
 
-// Of a target that a caller chose, what goes into a log line.
-constexpr std::size_t longest_logged_target = 100;
+// Bytes of a caller-supplied request target that are logged.
+constexpr std::size_t max_logged_target = 100;
 
 adapters::outbound_target target_of(const decision::endpoint_host& endpoint)
 {
@@ -74,8 +74,8 @@
     return "";
 }
 
-// As all routers name it, so that the requests of one session can be found in their logs together;
-// empty where the request belongs to none.
+// The session's name in log lines. It is the same on all routers, so that a session's requests can
+// be found across their logs. Empty if the request belongs to no session.
 std::string session_name(const decision::arrival& work)
 {
     return work.session_key == 0 ? std::string() : fmt::format("{:016x}", work.session_key);
@@ -84,12 +84,12 @@
 bool is_refusal(answer_meaning meaning)
 {
     return meaning == answer_meaning::refused || meaning == answer_meaning::refused_leaving ||
-           meaning == answer_meaning::refused_stranger;
+           meaning == answer_meaning::refused_other_process;
 }
 
-// When a piece came from an endpoint, and from which of its lives: what the one before said shows
-// nothing of the one that has started since under its name.
-struct sign_of_life {
+// When an endpoint last sent something, and which incarnation of it. Activity of an earlier
+// incarnation does not show that a restarted endpoint with the same address is alive.
+struct endpoint_activity {
     std::uint64_t incarnation = 0;
     decision::instant at;
 };
@@ -99,11 +99,11 @@
 class event_relay::state
     : public boost::intrusive_ref_counter<state, boost::thread_unsafe_counter> {
 public:
-    state(adapters::event_loop& runs_on, adapters::http_outbound& client,
-          decision::dispatcher& decides, const caller_dialect& speaks,
-          adapters::metrics& counted_in, const event_relay_settings& chosen)
-        : loop(runs_on), endpoints(client), dispatcher(decides), dialect(speaks),
-          counts(counted_in), settings(chosen)
+    state(adapters::event_loop& event_loop, adapters::http_outbound& client,
+          decision::dispatcher& request_dispatcher, const caller_dialect& wire_dialect,
+          adapters::metrics& relay_metrics, const event_relay_settings& chosen)
+        : loop(event_loop), endpoints(client), dispatcher(request_dispatcher),
+          dialect(wire_dialect), counts(relay_metrics), settings(chosen)
     {}
 
     void admit(const adapters::inbound_exchange_ptr& caller);
@@ -111,7 +111,7 @@
     void caller_gone(adapters::inbound_exchange& caller);
     void room(adapters::inbound_exchange& caller);
 
-    // One attempt's answer. `attempt` tells a late event of an earlier attempt apart.
+    // Events of one attempt's answer. `attempt` identifies late events of an earlier attempt.
     head_verdict on_head(ticket_number ticket, decision::attempt_number attempt,
                          const adapters::http_response_head& head);
     void on_body(ticket_number ticket, decision::attempt_number attempt, std::string_view piece);
@@ -127,8 +127,8 @@
     adapters::metrics& counts;
     event_relay_settings settings;
 
-    // A reference to a request holds over all calls into its caller and into `endpoints`, which
-    // call nothing back. It ends with `run_actions`, and with whatever calls that.
+    // References to a request stay valid across calls into its caller and into `endpoints`, which
+    // never call back. `run_actions`, and whatever calls it, may invalidate them.
     std::unordered_map<ticket_number, relayed_request> requests;
     std::unordered_map<const adapters::inbound_exchange*, ticket_number> tickets;
 
@@ -139,34 +139,35 @@
     void carry_out(const decision::cancel_attempt& action);
     void carry_out(const decision::complete_request& action);
     void carry_out(const decision::give_up_request& action);
-    // For other routers; whoever embeds the relay with peers tells them.
+    // Announcements for other routers. The program that embeds the relay sends them.
     void carry_out(const decision::announce_leaving& /*action*/) {}
     void carry_out(const decision::announce_suspect_status& /*action*/) {}
 
-    void bound_times(const relayed_request& relayed, adapters::outbound_request& sent) const;
+    void set_timeouts(const relayed_request& relayed, adapters::outbound_request& sent) const;
     void end_attempt(relayed_request& relayed, decision::attempt_end end);
     void cut_off(ticket_number ticket, relayed_request& relayed);
     void pass_events(ticket_number ticket, relayed_request& relayed, std::string_view piece);
     void begin_answer(relayed_request& relayed);
-    void hold(relayed_request& relayed, std::string_view piece);
+    void buffer(relayed_request& relayed, std::string_view piece);
     void keep_failed_answer(relayed_request& relayed) const;
-    void note_local_answer(const adapters::inbound_exchange& caller, const local_answer& answer);
-    void note_end(const relayed_request& relayed, const std::string& outcome, int status);
-    void note_heard(relayed_attempt& attempt);
-    static void note_attempt(relayed_request& relayed, const std::string& result);
+    void log_local_answer(const adapters::inbound_exchange& caller, const local_answer& answer);
+    void log_end(const relayed_request& relayed, const std::string& outcome, int status);
+    void record_activity(relayed_attempt& attempt);
+    static void record_attempt(relayed_request& relayed, const std::string& result);
     void forget(ticket_number ticket);
 
     ticket_number last_ticket = 0;
-    std::unordered_map<std::string, sign_of_life> last_heard; // by endpoint
+    std::unordered_map<std::string, endpoint_activity> last_activity; // by endpoint address
     bool running = false;
 };
 
 namespace {
 
-// Hands one exchange's events to the relay. It may be called after the relay has ended.
+// Passes the events of one exchange to the relay. It may be called after the relay has been
+// destroyed.
 class attempt_listener final : public adapters::outbound_listener {
 public:
-    attempt_listener(boost::intrusive_ptr<event_relay::state> told, ticket_number ticket,
+    attempt_listener(boost::intrusive_ptr<event_relay::state> relay_state, ticket_number ticket,
                      decision::attempt_number attempt);
     head_verdict on_head(const adapters::http_response_head& head) override;
     void on_body(std::string_view piece) override;
@@ -193,7 +194,7 @@
 {
     auto understood = this->dialect.read(*caller, this->dispatcher.current().get());
     if (const auto* own = std::get_if<local_answer>(&understood)) {
-        this->note_local_answer(*caller, *own);
+        this->log_local_answer(*caller, *own);
         caller->answer(own->status, own->fields, own->body);
         return;
     }
@@ -210,7 +211,8 @@
     this->run_actions();
 }
 
-// Actions may lead to events, and these to more actions: one loop runs them all in order.
+// Actions can trigger events, which produce further actions. The outermost call executes them all
+// in order.
 void event_relay::state::run_actions()
 {
     if (this->running) {
@@ -243,57 +245,58 @@
         return;
     }
     relayed.attempt.endpoint = *endpoint;
-    relayed.attempt.choice = action.version;
+    relayed.attempt.target_label = action.version;
     attempt_terms terms;
     terms.endpoint = *endpoint;
     terms.time_left = relayed.request.work.deadline - this->loop.now();
     terms.last_event = relayed.last_event;
     if (action.size < relayed.request.models.size()) {
         terms.model = relayed.request.models[action.size];
-        relayed.attempt.choice += "/" + std::to_string(action.size);
+        relayed.attempt.target_label += "/" + std::to_string(action.size);
     }
     auto sent = this->dialect.write(*relayed.caller, relayed.request, terms);
-    this->bound_times(relayed, sent);
+    this->set_timeouts(relayed, sent);
     relayed.attempt.exchange = this->endpoints.start(
         target_of(*endpoint), std::move(sent),
         new attempt_listener(boost::intrusive_ptr<state>(this), action.ticket, action.attempt));
 }
 
-// An endpoint that says nothing is given up only where another one may be asked: elsewhere a wait
-// can still bring the answer, and giving up cannot.
-void event_relay::state::bound_times(const relayed_request& relayed,
-                                     adapters::outbound_request& sent) const
+// The timeouts for a silent endpoint apply only if another endpoint may be asked. Otherwise waiting
+// may still yield the answer, and giving up cannot.
+void event_relay::state::set_timeouts(const relayed_request& relayed,
+                                      adapters::outbound_request& sent) const
 {
     const auto& request = relayed.request;
     const auto left = request.work.deadline - this->loop.now();
     const bool has_other = decision::may_run_again(request.kind) &&
                            relayed.attempt.number < std::max(request.work.max_attempts, 1U);
     sent.connect_time = std::min(this->settings.connect_time, left);
-    // The dispatcher ends what is past its deadline; these are behind it.
-    sent.answer_time = left + this->settings.least_patience;
-    sent.progress_time = left + this->settings.least_patience;
-    // A reused connection may have been closed at the other end a moment ago. What must not run
-    // twice could then not be sent again, although it never arrived.
+    // The dispatcher ends requests at their deadline. These later timeouts are a fallback.
+    sent.answer_time = left + this->settings.min_answer_timeout;
+    sent.progress_time = left + this->settings.min_answer_timeout;
+    // The endpoint may just have closed a reused connection. A request that must not run twice
+    // could then not be sent again, although it never arrived.
     sent.fresh_connection = !decision::may_run_again(request.kind);
     if (!has_other) {
         return;
     }
     const bool streamed = decision::is_streamed(request.kind);
-    const double part = streamed ? this->settings.stream_patience : this->settings.plain_patience;
-    const auto patience = this->dispatcher.first_response_timeout(request.work, part);
-    if (patience > duration::zero()) {
-        sent.answer_time = std::min(left, std::max(patience, this->settings.least_patience));
+    const double part =
+        streamed ? this->settings.stream_timeout_ratio : this->settings.plain_timeout_ratio;
+    const auto timeout = this->dispatcher.first_response_timeout(request.work, part);
+    if (timeout > duration::zero()) {
+        sent.answer_time = std::min(left, std::max(timeout, this->settings.min_answer_timeout));
     }
     if (streamed && request.longest_pause > duration::zero()) {
         const auto pause = std::chrono::duration_cast<duration>(request.longest_pause *
-                                                                this->settings.pause_patience);
-        sent.progress_time = std::min(left, std::max(pause, this->settings.least_patience));
+                                                                this->settings.pause_timeout_ratio);
+        sent.progress_time = std::min(left, std::max(pause, this->settings.min_answer_timeout));
     }
 }
 
 void event_relay::state::carry_out(const decision::resume_attempt& action)
 {
-    // Requests here never ask for it: a run is lost with its connection.
+    // Requests in this relay never resume a run: a run is lost with its connection.
     decision::attempt_end lost;
     lost.ticket = action.ticket;
     lost.attempt = action.attempt;
@@ -306,7 +309,7 @@
 {
     if (auto* relayed = this->find(action.ticket, action.attempt)) {
         this->endpoints.cancel(relayed->attempt.exchange);
-        note_attempt(*relayed, "cancelled");
+        record_attempt(*relayed, "cancelled");
         relayed->attempt.number = 0;
     }
 }
@@ -319,14 +322,14 @@
     }
     auto& relayed = found->second;
     const auto status = relayed.attempt.head.status;
-    if (relayed.attempt.use == answer_use::passed) {
+    if (relayed.attempt.use == answer_use::forwarded) {
         this->begin_answer(relayed);
         relayed.caller->end();
     } else {
-        relayed.caller->answer(status, this->dialect.pass_on(relayed.attempt.head),
-                               relayed.attempt.held);
+        relayed.caller->answer(status, this->dialect.forwarded_fields(relayed.attempt.head),
+                               relayed.attempt.buffered);
     }
-    this->note_end(relayed, "answered", status);
+    this->log_end(relayed, "answered", status);
     this->forget(action.ticket);
 }
 
@@ -339,15 +342,15 @@
     auto& relayed = found->second;
     if (relayed.began) {
         relayed.caller->abort();
-        this->note_end(relayed, "broken: " + action.why.detail, status_ok);
+        this->log_end(relayed, "broken: " + action.why.detail, status_ok);
     } else if (relayed.failed_answer) {
         const auto& own = *relayed.failed_answer;
         relayed.caller->answer(own.status, own.fields, own.body);
-        this->note_end(relayed, "endpoint's failure: " + action.why.detail, own.status);
+        this->log_end(relayed, "endpoint's failure: " + action.why.detail, own.status);
     } else {
         const auto answer = this->dialect.refuse(relayed.request, action.why);
         relayed.caller->answer(answer.status, answer.fields, answer.body);
-        this->note_end(relayed, "given up: " + action.why.detail, answer.status);
+        this->log_end(relayed, "given up: " + action.why.detail, answer.status);
     }
     this->forget(action.ticket);
 }
@@ -367,23 +370,23 @@
     current.head = head;
     current.first_token = this->loop.now() - current.started;
     if (is_refusal(current.facts.meaning)) {
-        current.use = answer_use::unread;
+        current.use = answer_use::discarded;
         return head_verdict::take;
     }
     const bool success = current.facts.meaning == answer_meaning::success;
     if (success && !relayed->began) {
-        const bool takes = this->dispatcher.accepts_answer(
+        const bool accepted = this->dispatcher.accepts_answer(
             ticket, attempt, current.facts.confidence, this->loop.now());
-        if (!takes) {
-            note_attempt(*relayed,
-                         "poor" + std::to_string(static_cast<int>(current.facts.confidence)));
+        if (!accepted) {
+            record_attempt(*relayed,
+                           "poor" + std::to_string(static_cast<int>(current.facts.confidence)));
             current.number = 0;
             this->run_actions();
             return head_verdict::drop;
         }
     }
-    const bool passes = success && decision::is_streamed(relayed->request.kind);
-    current.use = passes ? answer_use::passed : answer_use::held;
+    const bool forwards = success && decision::is_streamed(relayed->request.kind);
+    current.use = forwards ? answer_use::forwarded : answer_use::buffered;
     return head_verdict::take;
 }
 
@@ -394,33 +397,33 @@
     if (relayed == nullptr) {
         return;
     }
-    this->note_heard(relayed->attempt);
-    if (relayed->attempt.use == answer_use::passed) {
+    this->record_activity(relayed->attempt);
+    if (relayed->attempt.use == answer_use::forwarded) {
         if (decision::is_streamed(relayed->request.kind)) {
             this->pass_events(ticket, *relayed, piece);
         } else {
             relayed->caller->write(piece);
         }
-    } else if (relayed->attempt.use == answer_use::held) {
-        this->hold(*relayed, piece);
+    } else if (relayed->attempt.use == answer_use::buffered) {
+        this->buffer(*relayed, piece);
     }
     const auto found = this->requests.find(ticket);
     if (found != this->requests.end() &&
-        found->second.caller->unsent() > this->settings.most_unsent) {
+        found->second.caller->unsent() > this->settings.max_unsent) {
         this->endpoints.pause(found->second.attempt.exchange, true);
     }
 }
 
-void event_relay::state::hold(relayed_request& relayed, std::string_view piece)
+void event_relay::state::buffer(relayed_request& relayed, std::string_view piece)
 {
     auto& current = relayed.attempt;
-    current.held.append(piece);
+    current.buffered.append(piece);
     const bool success = current.facts.meaning == answer_meaning::success;
-    if (success && current.held.size() > this->settings.most_held) {
-        current.use = answer_use::passed;
+    if (success && current.buffered.size() > this->settings.max_buffered) {
+        current.use = answer_use::forwarded;
         this->begin_answer(relayed);
-        relayed.caller->write(current.held);
-        current.held.clear();
+        relayed.caller->write(current.buffered);
+        current.buffered.clear();
     }
 }
 
@@ -431,23 +434,23 @@
         relayed.first_piece = this->loop.now();
         relayed.last_piece = relayed.first_piece;
         relayed.caller->begin(relayed.attempt.head.status,
-                              this->dialect.pass_on(relayed.attempt.head));
+                              this->dialect.forwarded_fields(relayed.attempt.head));
     }
 }
 
-// An endpoint that goes on with another one's stream must do so at the next event: one that is
-// repeated is left out, and at a gap the rest of the run is worth nothing.
+// An endpoint that resumes a stream must continue at the next event. Repeated events are skipped.
+// After a gap, the rest of the run is useless.
 void event_relay::state::pass_events(ticket_number ticket, relayed_request& relayed,
                                      std::string_view piece)
 {
     auto& current = relayed.attempt;
     for (const auto& event : current.events.feed(piece)) {
         const auto expected = relayed.last_event + 1;
-        if (current.spoiled || (event.id && *event.id < expected)) {
+        if (current.invalid || (event.id && *event.id < expected)) {
             continue;
         }
         if (event.id && *event.id > expected && relayed.last_event > 0) {
-            current.spoiled = true;
+            current.invalid = true;
             continue;
         }
         this->begin_answer(relayed);
@@ -461,8 +464,8 @@
             this->dispatcher.on_pace(ticket, current.number, *pace);
         }
     }
-    current.spoiled = current.spoiled || current.events.part_size() > this->settings.most_event;
-    if (current.spoiled) {
+    current.invalid = current.invalid || current.events.part_size() > this->settings.max_event_size;
+    if (current.invalid) {
         adapters::log_warning("stream_gap", {{"id", relayed.request.id},
                                              {"endpoint", current.endpoint.address},
                                              {"after", std::to_string(relayed.last_event)},
@@ -475,8 +478,8 @@
 void event_relay::state::keep_failed_answer(relayed_request& relayed) const
 {
     const auto& current = relayed.attempt;
-    relayed.failed_answer =
-        local_answer{current.head.status, this->dialect.pass_on(current.head), current.held};
+    relayed.failed_answer = local_answer{
+        current.head.status, this->dialect.forwarded_fields(current.head), current.buffered};
 }
 
 void event_relay::state::on_end(ticket_number ticket, decision::attempt_number attempt)
@@ -508,9 +511,9 @@
     this->end_attempt(*relayed, end);
 }
 
-// An endpoint that is silent here may be busy with other requests' prompts. It is given up while
-// nothing comes from it on any connection, or once its silence is long even for a busy one; and
-// only for a request that another endpoint may have.
+// An endpoint that is silent on one connection may be busy with other requests' prompts. It is
+// given up if no connection of it shows activity, or if its silence is too long even for a busy
+// endpoint, and only if the request may move to another endpoint.
 bool event_relay::state::on_silence(ticket_number ticket, decision::attempt_number attempt)
 {
     auto* relayed = this->find(ticket, attempt);
@@ -521,11 +524,12 @@
         return false;
     }
     ++relayed->attempt.silences;
-    const auto heard = this->last_heard.find(relayed->attempt.endpoint.address);
-    const bool lives = heard != this->last_heard.end() &&
-                       heard->second.incarnation == relayed->attempt.endpoint.incarnation &&
-                       this->loop.heard_until() - heard->second.at < this->settings.sign_of_life;
-    return !lives || relayed->attempt.silences >= this->settings.most_silences;
+    const auto activity = this->last_activity.find(relayed->attempt.endpoint.address);
+    const bool is_alive =
+        activity != this->last_activity.end() &&
+        activity->second.incarnation == relayed->attempt.endpoint.incarnation &&
+        this->loop.heard_until() - activity->second.at < this->settings.liveness_window;
+    return !is_alive || relayed->attempt.silences >= this->settings.max_silences;
 }
 
 void event_relay::state::on_break(ticket_number ticket, decision::attempt_number attempt,
@@ -547,13 +551,14 @@
     this->end_attempt(*relayed, end);
 }
 
-// A plain answer too long to be held broke off. What its caller has cannot be taken back.
+// A plain answer that was too long to buffer broke off. The part that the caller has received
+// cannot be taken back, so the caller's connection is closed.
 void event_relay::state::cut_off(ticket_number ticket, relayed_request& relayed)
 {
     this->dispatcher.on_caller_gone(ticket, this->loop.now());
     relayed.caller->abort();
-    this->note_end(relayed, "broken: the endpoint was lost in the middle of the answer",
-                   relayed.attempt.head.status);
+    this->log_end(relayed, "broken: the endpoint was lost in the middle of the answer",
+                  relayed.attempt.head.status);
     this->forget(ticket);
     this->run_actions();
 }
@@ -565,7 +570,7 @@
     if (const auto pace = current.pace.at_end()) {
         this->dispatcher.on_pace(end.ticket, end.attempt, *pace);
     }
-    note_attempt(relayed, name_of(end.result));
+    record_attempt(relayed, name_of(end.result));
     if (end.result != attempt_result::finished) {
         this->counts.add("pearhaven_attempts_lost", {{"result", name_of(end.result)}});
         adapters::log_change("attempt_lost",
@@ -577,7 +582,7 @@
                               {"after_ms", milliseconds(this->loop.now() - current.started)}});
     }
     if (end.result == attempt_result::went_silent) {
-        // Whatever made this connection silent may have done so to the others.
+        // Other connections to the endpoint may be broken for the same reason.
         this->endpoints.forget(current.endpoint.address);
     }
     if (end.result != attempt_result::finished) {
@@ -587,41 +592,42 @@
     this->run_actions();
 }
 
-// Endpoints come and go for as long as the process runs; what is dropped here is known again with
-// the next piece.
-void event_relay::state::note_heard(relayed_attempt& attempt)
+// Endpoints change during the lifetime of the process. Entries dropped here are recreated by the
+// next piece.
+void event_relay::state::record_activity(relayed_attempt& attempt)
 {
-    if (this->last_heard.size() >= most_heard) {
-        this->last_heard.clear();
+    if (this->last_activity.size() >= max_tracked_endpoints) {
+        this->last_activity.clear();
     }
-    this->last_heard[attempt.endpoint.address] = {attempt.endpoint.incarnation, this->loop.now()};
+    this->last_activity[attempt.endpoint.address] = {attempt.endpoint.incarnation,
+                                                     this->loop.now()};
     attempt.silences = 0;
 }
 
-void event_relay::state::note_attempt(relayed_request& relayed, const std::string& result)
+void event_relay::state::record_attempt(relayed_request& relayed, const std::string& result)
 {
     const auto& current = relayed.attempt;
     relayed.history.append(relayed.history.empty() ? "" : " ");
-    relayed.history.append(current.endpoint.address).append("(").append(current.choice);
+    relayed.history.append(current.endpoint.address).append("(").append(current.target_label);
     relayed.history.append("):").append(result);
 }
 
-void event_relay::state::note_local_answer(const adapters::inbound_exchange& caller,
-                                           const local_answer& answer)
+void event_relay::state::log_local_answer(const adapters::inbound_exchange& caller,
+                                          const local_answer& answer)
 {
     const auto revision = this->dispatcher.current() ? this->dispatcher.current()->revision() : 0;
     this->counts.add("pearhaven_requests_answered_here",
                      {{"status", std::to_string(answer.status)}});
     adapters::log_change("request_refused",
                          {{"id", this->dialect.name_of(caller)},
-                          {"target", caller.head().target.substr(0, longest_logged_target)},
+                          {"target", caller.head().target.substr(0, max_logged_target)},
                           {"status", std::to_string(answer.status)},
                           {"config", std::to_string(revision)},
                           {"why", answer.body.substr(0, answer.body.find('\n'))}});
 }
 
-void event_relay::state::note_end(const relayed_request& relayed, const std::string& outcome,
-                                  int status)
+void event_relay::state::log_end(const relayed_request& relayed, const std::string& outcome,
+                                 int status)
 {
     const auto arrived = relayed.caller->arrived();
     const auto waited = this->loop.now() - arrived;
@@ -666,7 +672,7 @@
     const auto relayed = this->requests.find(ticket);
     if (relayed != this->requests.end()) {
         this->endpoints.cancel(relayed->second.attempt.exchange);
-        this->note_end(relayed->second, "caller left", 0);
+        this->log_end(relayed->second, "caller left", 0);
     }
     this->forget(ticket);
 }
@@ -681,9 +687,9 @@
 
 namespace {
 
-attempt_listener::attempt_listener(boost::intrusive_ptr<event_relay::state> told, ticket_number of,
-                                   decision::attempt_number number)
-    : relay(std::move(told)), ticket(of), attempt(number)
+attempt_listener::attempt_listener(boost::intrusive_ptr<event_relay::state> relay_state,
+                                   ticket_number of, decision::attempt_number number)
+    : relay(std::move(relay_state)), ticket(of), attempt(number)
 {}
 
 head_verdict attempt_listener::on_head(const adapters::http_response_head& head)
--- a/router/src/fleet_duty.hpp
+++ b/router/src/fleet_worker.hpp
@@ -1,9 +1,9 @@
-#ifndef PEARHAVEN_ROUTER_FLEET_DUTY_HPP
-#define PEARHAVEN_ROUTER_FLEET_DUTY_HPP
+#ifndef PEARHAVEN_ROUTER_FLEET_WORKER_HPP
+#define PEARHAVEN_ROUTER_FLEET_WORKER_HPP
 
 #include "fleet_event.hpp"
 #include "published.hpp"
-#include "rollout_keeper.hpp"
+#include "rollout_controller.hpp"
 #include "routing_event.hpp"
 
 #include "pearhaven/adapters/bounded_ring.hpp"
@@ -26,28 +26,28 @@
 
 namespace pearhaven::router {
 
-// What the operator port shows of the fleet thread.
+// State of the fleet thread that the operator port shows.
 struct fleet_view {
     std::uint64_t revision = 0;
     std::optional<decision::duration> confirmed_age;
     bool ready = false;
     bool in_touch = false;
     bool outage_agreed = false;
-    bool left = false; // the fleet has been told that this router is gone
+    bool left = false; // the other routers were informed that this router has left
     std::size_t bills_waiting = 0;
     std::vector<coordination::member> members;
 
     friend bool operator==(const fleet_view&, const fleet_view&) = default;
 };
 
-// How a member's state is written on pages for people.
+// The name of a member's state on status pages and in logs.
 std::string state_name(coordination::member_state state);
 
-// The thread on which the coordination parts run: the configuration's replica, and with it whatever
-// this router agrees on with the others or keeps in the store.
-class fleet_duty : public fleet_sink {
+// Runs the coordination components on a thread of its own: the configuration replica, and
+// everything that this router agrees on with other routers or keeps in the store.
+class fleet_worker : public fleet_sink {
 public:
-    struct ports {
+    struct dependencies {
         const router_settings& settings;
         std::string incarnation;
         std::uint64_t seed;
@@ -56,12 +56,12 @@
         published<decision::configuration_ptr>& configuration;
     };
 
-    explicit fleet_duty(const ports& all_ports);
-    ~fleet_duty() override;
-    fleet_duty(const fleet_duty&) = delete;
-    fleet_duty& operator=(const fleet_duty&) = delete;
+    explicit fleet_worker(const dependencies& all_dependencies);
+    ~fleet_worker() override;
+    fleet_worker(const fleet_worker&) = delete;
+    fleet_worker& operator=(const fleet_worker&) = delete;
 
-    // Both outlive the duty's thread.
+    // Both references must outlive the worker's thread.
     void start(routing_sink& routing_events, adapters::peer_link& peer_link,
                std::uint16_t operator_port);
     void stop();
@@ -74,14 +74,14 @@
     void run();
     void tick();
     void handle(store_replied& event);
-    void handle(peer_spoke& event);
+    void handle(peer_message_received& event);
     void handle(bill_due& event);
-    void handle(claim_wanted& event);
+    void handle(claim_requested& event);
     void handle(claim_settled& event);
-    void handle(fact_found& event);
+    void handle(fact_observed& event);
     void handle(leave_begun& event);
 
-    // Takes the actions of every part and carries them out.
+    // Executes the pending actions of all components.
     void carry_out_all();
     template <class Part>
     void carry_out_part(fleet_part part, Part& source);
@@ -96,14 +96,14 @@
     void carry_out(fleet_part part, const coordination::fact_removed& action);
 
     void join_fleet();
-    void tell_members();
-    void keep_rollouts();
+    void update_members();
+    void update_rollouts();
 
-    void tell_touch();
-    [[nodiscard]] decision::instant in_touch_until(decision::instant moment) const;
+    void report_config_validity();
+    [[nodiscard]] decision::instant config_valid_until(decision::instant moment) const;
     void publish_view();
 
-    ports all;
+    dependencies deps;
     routing_sink* routing = nullptr;
     adapters::peer_link* link = nullptr;
     std::uint16_t own_operator_port = 0;
@@ -117,16 +117,16 @@
     coordination::bill_ledger ledger;
     coordination::once_claims claims;
     coordination::fact_table facts;
-    rollout_keeper rollouts;
-    std::optional<coordination::membership> fleet; // from the start of the thread on
+    rollout_controller rollouts;
+    std::optional<coordination::membership> fleet; // set when the thread starts
     std::map<coordination::claim_number, exchange_ptr> claimants;
-    std::multimap<std::string, bill_due> unbilled; // by request
+    std::multimap<std::string, bill_due> unbilled; // by request id
     decision::instant next_tick;
     decision::instant next_members;
     bool left = false;
-    decision::instant told_until;
+    decision::instant reported_until;
     bool was_in_touch = false;
-    fleet_changed told_place;
+    fleet_changed reported_position;
     published<fleet_view> latest_view;
     std::thread thread;
 };
--- /dev/null
+++ b/router/src/peer_messenger.cpp
@@ -0,0 +1,238 @@
+#include "pearhaven/router/peer_messenger.hpp"
+
+#include "pearhaven/adapters/log.hpp"
+#include "pearhaven/decision/work.hpp"
+
+#include <charconv>
+#include <system_error>
+#include <utility>
+
+namespace pearhaven::router {
+
+namespace {
+
+coordination::peer_exchange_settings exchange_settings_for(const peer_messenger_settings& settings)
+{
+    coordination::peer_exchange_settings made;
+    made.self = settings.self;
+    made.zone = settings.listen_address.zone;
+    made.seed = decision::fingerprint(settings.self, "peers", "");
+    return made;
+}
+
+coordination::watch_share_settings share_settings_for(const peer_messenger_settings& settings)
+{
+    coordination::watch_share_settings made;
+    made.self = settings.self;
+    made.zone = settings.listen_address.zone;
+    made.update_lifetime = settings.max_update_delay * 3 / 5;
+    made.fallback_spread = settings.max_update_delay / 10;
+    return made;
+}
+
+const char* name_of(coordination::watch_mode mode)
+{
+    switch (mode) {
+    case coordination::watch_mode::independent:
+        return "alone";
+    case coordination::watch_mode::watcher:
+        return "for others";
+    case coordination::watch_mode::follower:
+        return "follows";
+    }
+    return "";
+}
+
+} // namespace
+
+std::string write_peer(const coordination::peer_router& where)
+{
+    return where.host + ":" + std::to_string(where.port) + " " + where.zone;
+}
+
+std::optional<coordination::peer_router> read_peer(std::string_view text)
+{
+    const auto space = text.find(' ');
+    const auto address = text.substr(0, space);
+    const auto colon = address.rfind(':');
+    if (colon == std::string_view::npos || colon == 0) {
+        return std::nullopt;
+    }
+    coordination::peer_router read;
+    read.host = address.substr(0, colon);
+    read.zone = space == std::string_view::npos ? std::string_view() : text.substr(space + 1);
+    const auto* end = address.data() + address.size();
+    const auto parsed = std::from_chars(address.data() + colon + 1, end, read.port);
+    const bool valid = parsed.ec == std::errc() && parsed.ptr == end && read.port != 0;
+    return valid ? std::make_optional(read) : std::nullopt;
+}
+
+peer_messenger::peer_messenger(dependencies all_dependencies, const peer_messenger_settings& chosen)
+    : deps(std::move(all_dependencies)), settings(chosen), exchange(exchange_settings_for(chosen)),
+      share(share_settings_for(chosen))
+{}
+
+void peer_messenger::open(const std::string& fleet_key)
+{
+    if (this->link) {
+        return;
+    }
+    adapters::peer_link_settings chosen;
+    chosen.listen_host = this->settings.listen_address.host;
+    chosen.listen_port = this->settings.listen_address.port;
+    chosen.self = this->settings.self;
+    chosen.fleet_key = fleet_key;
+    const auto deliver = [this](const std::string& from, const adapters::peer_address& reply_to,
+                                coordination::peer_message message) {
+        this->deps.loop.post([this, from, reply_to, message = std::move(message)] {
+            this->handle(from, reply_to, message);
+        });
+    };
+    try {
+        this->link = adapters::make_peer_link(chosen, deliver);
+        adapters::log_change("peers_open", {{"port", std::to_string(this->link->port())}});
+    } catch (const std::system_error& error) {
+        adapters::log_warning("peers_closed", {{"cause", error.what()}});
+    }
+}
+
+void peer_messenger::set_peer(const std::string& name, const coordination::peer_router& where)
+{
+    this->exchange.set_peer(name, where);
+    this->share.set_peer(name, where.zone);
+}
+
+void peer_messenger::drop_peer(const std::string& name)
+{
+    this->exchange.drop_peer(name);
+    this->share.drop_peer(name);
+}
+
+void peer_messenger::tick()
+{
+    if (!this->link) {
+        return;
+    }
+    this->set_watch_mode();
+    const auto& mirror = this->deps.mirror;
+    const auto sends = this->exchange.on_tick(
+        this->deps.dispatcher.endpoints().own_loads(),
+        {mirror.is_synchronized(), mirror.revision(), mirror.must_read_store()},
+        this->deps.loop.now(), this->deps.dispatcher.concentrated_loads());
+    for (const auto& send : sends) {
+        this->link->send({send.to.host, send.to.port}, send.message);
+    }
+}
+
+void peer_messenger::handle(const std::string& from, const adapters::peer_address& reply_to,
+                            const coordination::peer_message& message)
+{
+    if (const auto* push = std::get_if<coordination::load_push>(&message)) {
+        this->deps.dispatcher.on_peer_loads(from, push->loads, this->deps.loop.now());
+    } else if (const auto* pull = std::get_if<coordination::mirror_pull>(&message)) {
+        this->answer(reply_to, *pull);
+    } else if (const auto* updates = std::get_if<coordination::mirror_update>(&message)) {
+        this->handle(from, reply_to, *updates);
+    }
+}
+
+void peer_messenger::set_watch_mode()
+{
+    const auto wanted = this->share.mode(this->deps.loop.now());
+    if (wanted != this->mode) {
+        this->mode = wanted;
+        this->deps.mirror.set_mode(wanted);
+        adapters::log_change("watch_mode",
+                             {{"mode", name_of(wanted)},
+                              {"revision", std::to_string(this->deps.mirror.revision())}});
+    }
+}
+
+void peer_messenger::forward_updates()
+{
+    const auto& mirror = this->deps.mirror;
+    const bool forwards = this->link && this->mode == coordination::watch_mode::watcher &&
+                          mirror.is_synchronized() &&
+                          mirror.confirmed_at() != this->forwarded_confirmation;
+    if (!forwards) {
+        return;
+    }
+    const auto from = this->forwarded_revision == 0 ? mirror.revision() : this->forwarded_revision;
+    auto updates = mirror.updates_after(from);
+    if (!updates) {
+        return;
+    }
+    auto forwarded = coordination::without_large_values(std::move(*updates));
+    forwarded.age = this->deps.loop.now() - mirror.confirmed_at();
+    this->forwarded_revision = forwarded.as_of;
+    this->forwarded_confirmation = mirror.confirmed_at();
+    std::size_t bytes = 0;
+    for (const auto& entry : forwarded.entries) {
+        bytes += entry.value.size();
+    }
+    for (const auto& peer : this->exchange.zone_peers()) {
+        this->link->send({peer.host, peer.port}, forwarded);
+        this->deps.counts.add("pearhaven_peer_news_bytes", {}, bytes);
+    }
+}
+
+// Handles updates that a watching router forwards without being asked. They continue its previous
+// ones. A router that missed some asks for the rest, unless it has to ask the store anyway. The
+// updates themselves are valid in either case.
+void peer_messenger::handle(const std::string& from, const adapters::peer_address& reply_to,
+                            const coordination::mirror_update& updates)
+{
+    if (updates.nonce != 0) {
+        this->update_mirror(from, updates);
+        return;
+    }
+    const auto known = this->deps.mirror.revision();
+    if (updates.as_of > known) {
+        this->deps.mirror.on_peer_update(updates);
+        this->deps.on_updates();
+    }
+    if (!updates.complete && updates.after > known && !this->deps.mirror.must_read_store()) {
+        this->link->send(reply_to, coordination::mirror_pull{0, known});
+        return;
+    }
+    this->share.on_watcher_update(updates.as_of, this->deps.mirror.revision(), updates.age,
+                                  this->deps.loop.now());
+}
+
+// Handles updates that this router asked for. The store may have answered this router in the
+// meantime: updates older than the mirror change nothing.
+void peer_messenger::update_mirror(const std::string& from,
+                                   const coordination::mirror_update& updates)
+{
+    if (!this->exchange.accepts_answer(updates)) {
+        return;
+    }
+    if (updates.age >= decision::duration::zero()) {
+        this->deps.mirror.on_peer_served_by_store(this->deps.loop.now() - updates.age);
+    }
+    if (updates.as_of <= this->deps.mirror.revision()) {
+        return;
+    }
+    this->deps.counts.add("pearhaven_peer_news", {});
+    adapters::log_change("heard_from_peer", {{"peer", from},
+                                             {"revision", std::to_string(updates.as_of)},
+                                             {"changes", std::to_string(updates.entries.size())},
+                                             {"whole", updates.complete ? "true" : "false"}});
+    this->deps.mirror.on_peer_update(updates);
+    this->deps.on_updates();
+}
+
+void peer_messenger::answer(const adapters::peer_address& to, const coordination::mirror_pull& pull)
+{
+    auto updates = this->deps.mirror.updates_after(pull.after);
+    if (updates && this->link) {
+        if (!pull.large) {
+            updates = coordination::without_large_values(std::move(*updates));
+        }
+        updates->nonce = pull.nonce;
+        updates->age = this->deps.loop.now() - this->deps.mirror.confirmed_at();
+        this->link->send(to, *updates);
+    }
+}
+
+} // namespace pearhaven::router
--- a/router/src/service_attempt.hpp
+++ b/router/src/service_attempt.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::router {
 
-// Receives a plain service's answer and passes it on to the caller's thread as it is.
+// Receives a plain service's answer and passes it unchanged to the caller's thread.
 class service_attempt : public adapters::http_listener {
 public:
     service_attempt(routing_sink& events, exchange_ptr to_caller,
@@ -28,7 +28,7 @@
     exchange_ptr caller;
     decision::attempt_number attempt;
     bool not_run = false;
-    bool head_passed = false;
+    bool head_forwarded = false;
 };
 
 } // namespace pearhaven::router
--- a/router/test/event_relay_test.cpp
+++ b/router/test/event_relay_test.cpp
@@ -22,31 +22,32 @@
 
 namespace {
 
-// The first line of the log makes its writer, which stays: made here, it is no test's leak.
-const bool log_is_made = [] {
+// The first log line allocates the log writer, which is never freed. Creating it here keeps it out
+// of the tests' leak checks.
+const bool log_is_created = [] {
     adapters::log_change("event_relay_tests", {});
     return true;
 }();
 
-// A dialect of few words. Its functions are called right before the relay sends something, so a
-// test that acts in `at` meets the send that follows.
+// A minimal dialect. Its functions are called right before the relay sends something, so that
+// `hook` runs right before the send that follows `hook_point`.
 class hooked_dialect final : public caller_dialect {
 public:
     std::variant<routed_request, local_answer>
     read(const adapters::inbound_exchange& caller,
          const decision::configuration* /*current*/) const override
     {
-        this->come("read");
+        this->on_call("read");
         if (caller.head().target == "/nowhere") {
             return local_answer{404, {}, "nowhere"};
         }
-        auto made = this->form;
+        auto made = this->prototype;
         made.work.team = "deposits";
         made.work.asked = "model";
         made.work.idempotent = decision::may_run_again(made.kind);
         made.work.streamed = decision::is_streamed(made.kind);
         made.work.work = {decision::work_class::lookup, 100.0};
-        made.work.deadline = caller.arrived() + this->patience;
+        made.work.deadline = caller.arrived() + this->time_limit;
         made.work.max_attempts = 2;
         made.work.sizes = static_cast<std::uint32_t>(made.models.size());
         made.work.on_loss = decision::continuation::another_run;
@@ -60,7 +61,7 @@
                                      const routed_request& /*request*/,
                                      const attempt_terms& terms) const override
     {
-        this->come(terms.last_event > 0 ? "write again" : "write");
+        this->on_call(terms.last_event > 0 ? "write again" : "write");
         adapters::outbound_request sent;
         sent.target = caller.head().target;
         sent.fields = {{"Host", "h"}, {"After", std::to_string(terms.last_event)}};
@@ -70,7 +71,7 @@
     answer_facts judge(const routed_request& /*request*/,
                        const adapters::http_response_head& head) const override
     {
-        this->come("judge");
+        this->on_call("judge");
         answer_facts facts;
         facts.meaning = head.status == 200   ? answer_meaning::success
                         : head.status == 503 ? answer_meaning::refused
@@ -79,38 +80,39 @@
         return facts;
     }
 
-    adapters::http_fields pass_on(const adapters::http_response_head& /*head*/) const override
+    adapters::http_fields
+    forwarded_fields(const adapters::http_response_head& /*head*/) const override
     {
-        this->come("pass on");
+        this->on_call("pass on");
         return {};
     }
 
     local_answer refuse(const routed_request& /*request*/,
                         const decision::failure& why) const override
     {
-        this->come("refuse");
+        this->on_call("refuse");
         const bool has_not_run = why.run == decision::run_state::not_run;
         return {503, {}, has_not_run ? "refused, not run" : "refused, may have run"};
     }
 
-    routed_request form;
-    decision::duration patience = seconds(30);
+    routed_request prototype;
+    decision::duration time_limit = seconds(30);
     decision::duration objective{};
-    std::string at; // where `act` is called
-    std::function<void()> act;
-    mutable int acted = 0;
+    std::string hook_point; // the function in which `hook` is called
+    std::function<void()> hook;
+    mutable int hook_calls = 0;
 
 private:
-    void come(const std::string& where) const
+    void on_call(const std::string& where) const
     {
-        if (this->act && where == this->at) {
-            ++this->acted;
-            this->act();
+        if (this->hook && where == this->hook_point) {
+            ++this->hook_calls;
+            this->hook();
         }
     }
 };
 
-// Without a team nobody may send anything.
+// A configuration in which only `team` may send requests.
 decision::configuration_ptr make_configuration(const std::string& team = "deposits")
 {
     decision::team deposits;
@@ -139,7 +141,7 @@
     return "GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n";
 }
 
-std::string whole(const std::string& body, const std::string& field = "")
+std::string complete_answer(const std::string& body, const std::string& field = "")
 {
     return "HTTP/1.1 200 OK\r\n" + field + "Content-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + body;
@@ -153,7 +155,7 @@
     return adapters::write_chunk("id: " + std::to_string(id) + "\ndata: " + text + "\n\n");
 }
 
-// More than the buffers of two connections hold.
+// More than the socket buffers of two connections hold.
 std::string long_stream()
 {
     constexpr int events = 400;
@@ -171,9 +173,9 @@
 
 } // namespace
 
-// A caller, a router and two endpoints on one loop. Each test makes the caller or an endpoint leave
-// at one step of a request and lets the relay be the first to meet it. Whatever the step: nothing
-// is left of the request, its run ends, and the next caller is served.
+// A caller, a relay and two endpoints on one event loop. Each test makes the caller or an endpoint
+// disconnect at one step of a request, so that the relay is the first to encounter it. In every
+// case nothing of the request remains, its run ends, and the next caller is served.
 TEST_GROUP(event_relay)
 {
     adapters::event_loop loop;
@@ -191,7 +193,7 @@
 
     void setup() override
     {
-        CHECK_TRUE(log_is_made);
+        CHECK_TRUE(log_is_created);
         decision::dispatcher_settings chosen;
         chosen.endpoints.zone = "osu";
         chosen.max_refusals = 1;
@@ -205,10 +207,10 @@
         this->dispatcher->on_configuration(make_configuration(), now);
         this->dispatcher->on_hosts(this->hosts(), now);
         this->dispatcher->on_config_confirmed(decision::instant::max(), now);
-        this->dialect.form.kind = work_kind::resumable_stream;
+        this->dialect.prototype.kind = work_kind::resumable_stream;
     }
 
-    // With the settings that the test has chosen.
+    // Creates the relay with the settings that the test has chosen.
     void open()
     {
         this->relay = std::make_unique<event_relay>(this->loop, *this->client, *this->dispatcher,
@@ -220,7 +222,7 @@
     void teardown() override
     {
         this->script.reset();
-        this->dialect.act = nullptr;
+        this->dialect.hook = nullptr;
         this->callers.reset();
         this->relay.reset();
         this->client.reset();
@@ -240,17 +242,17 @@
         return made;
     }
 
-    // The connection that was the `index`th to bring a request to either endpoint; null where there
-    // is none yet.
+    // The connection that brought the request number `index` to either endpoint; null if there is
+    // none yet.
     script_socket* run_at(std::size_t index)
     {
         for (const auto& one : this->endpoints) {
             for (const auto& connection : one->connections()) {
-                auto* brought = connection.get();
+                auto* candidate = connection.get();
                 const bool known =
-                    std::find(this->runs.begin(), this->runs.end(), brought) != this->runs.end();
+                    std::find(this->runs.begin(), this->runs.end(), candidate) != this->runs.end();
                 if (!known && connection->has("\r\n\r\n")) {
-                    this->runs.push_back(brought);
+                    this->runs.push_back(candidate);
                 }
             }
         }
@@ -262,14 +264,14 @@
         return [this, index] { return this->run_at(index) != nullptr; };
     }
 
-    // Whether the first run's bytes have stopped leaving.
-    std::function<bool()> is_stuck()
+    // Whether the first run's bytes are no longer being sent.
+    std::function<bool()> is_blocked()
     {
-        return [this, last = std::size_t{0}, looks = 0]() mutable {
+        return [this, last = std::size_t{0}, checks = 0]() mutable {
             const auto left = this->run_at(0)->flush();
-            looks = left == last ? looks + 1 : 0;
+            checks = left == last ? checks + 1 : 0;
             last = left;
-            return looks > 20;
+            return checks > 20;
         };
     }
 
@@ -278,7 +280,7 @@
         return [this, part] { return this->caller->has(part); };
     }
 
-    // The operator removes the team of all callers, or brings it back.
+    // The operator removes the team of all callers, or restores it.
     void remove_team()
     {
         this->dispatcher->on_configuration(make_configuration("another"), this->loop.now());
@@ -290,18 +292,18 @@
         this->relay->run_actions();
     }
 
-    // The caller has what it was due; for the next one all is as before.
-    void leave()
+    // Disconnects the caller after it got its answer, and restores the team for the next caller.
+    void disconnect_caller()
     {
         this->caller->close();
         this->restore_team();
     }
 
-    // The caller resets right before the relay sends what follows on `place`.
+    // Resets the caller's connection right before the send that follows `place`.
     void reset_at(const std::string& place)
     {
-        this->dialect.at = place;
-        this->dialect.act = [this] { this->caller->reset(); };
+        this->dialect.hook_point = place;
+        this->dialect.hook = [this] { this->caller->reset(); };
     }
 
     loop_script& begin()
@@ -311,7 +313,7 @@
         return *this->script;
     }
 
-    // Runs the script, then a request of another caller, which is served.
+    // Runs the script, then a request of another caller, which must be served.
     void finish(bool run_ends = true)
     {
         auto& steps = *this->script;
@@ -325,21 +327,21 @@
         steps
             .when([] { return true; },
                   [this] {
-                      this->dialect.act = nullptr;
-                      this->dialect.form = {};
-                      this->dialect.form.kind = work_kind::idempotent;
+                      this->dialect.hook = nullptr;
+                      this->dialect.prototype = {};
+                      this->dialect.prototype.kind = work_kind::idempotent;
                       this->next_caller = script_socket::connect(this->callers->port());
                       this->next_caller->send(request("/next"));
                   })
-            .when([this] { return this->next_run() != nullptr; },
-                  [this] { this->next_run()->send(whole("served")); })
+            .when([this] { return this->next_caller_run() != nullptr; },
+                  [this] { this->next_caller_run()->send(complete_answer("served")); })
             .until([this] { return this->next_caller->has("served"); });
         CHECK_TRUE(steps.run());
         CHECK_EQUAL(0, this->relay->in_flight());
         CHECK_EQUAL(0, this->dispatcher->in_flight());
     }
 
-    // How often that was sent to either endpoint.
+    // How often requests with this start were sent to either endpoint.
     std::size_t sends_of(const std::string& start)
     {
         std::size_t count = 0;
@@ -355,8 +357,8 @@
         return count;
     }
 
-    // The connection on which the request of the next caller came.
-    script_socket* next_run()
+    // The connection that brought the next caller's request.
+    script_socket* next_caller_run()
     {
         for (const auto& one : this->endpoints) {
             for (auto& connection : one->connections()) {
@@ -371,9 +373,9 @@
     std::vector<script_socket*> runs;
 };
 
-// A stop's end refuses what waits, and the refusal is the first to meet that the caller has reset
-// its connection. Two routers died of it at once, with all their streams.
-TEST(event_relay, a_reset_is_met_by_the_refusal_at_a_stops_end)
+// The end of a stop refuses waiting requests, and the refusal is the first send after the caller
+// has reset its connection. This once crashed two routers with all their streams.
+TEST(event_relay, caller_reset_before_the_refusal_at_the_end_of_a_stop)
 {
     this->begin().when(this->has_run(0), [this] {
         this->caller->reset();
@@ -383,7 +385,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_the_cut_of_a_stream_at_a_stops_end)
+TEST(event_relay, caller_reset_before_its_stream_is_cut_off_at_the_end_of_a_stop)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -395,7 +397,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_an_answer_of_the_routers_own)
+TEST(event_relay, caller_reset_before_a_local_answer)
 {
     this->reset_at("read");
     this->open();
@@ -403,29 +405,30 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_while_the_request_is_written_to_its_endpoint_ends_the_run)
+TEST(event_relay, caller_reset_while_the_request_is_sent_ends_the_run)
 {
     this->reset_at("write");
     this->begin();
-    this->script->until([this] { return this->dialect.acted > 0; });
+    this->script->until([this] { return this->dialect.hook_calls > 0; });
     this->finish();
 }
 
-TEST(event_relay, a_reset_before_the_answers_head_ends_the_run)
+TEST(event_relay, caller_reset_before_the_answer_head_ends_the_run)
 {
     this->begin().when(this->has_run(0), [this] { this->caller->reset(); });
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_a_plain_answer)
+TEST(event_relay, caller_reset_before_a_plain_answer)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
-    this->begin().when(this->has_run(0), [this] { this->run_at(0)->send(whole("answer")); });
+    this->begin().when(this->has_run(0),
+                       [this] { this->run_at(0)->send(complete_answer("answer")); });
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_a_streams_head_and_the_events_that_came_with_it)
+TEST(event_relay, caller_reset_before_a_stream_head_with_events)
 {
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
@@ -434,7 +437,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_a_whole_stream_at_once)
+TEST(event_relay, caller_reset_before_a_complete_stream)
 {
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
@@ -443,8 +446,9 @@
     this->finish(false);
 }
 
-// The endpoint's bytes are ready before the caller's reset is, so the relay meets it in a send.
-TEST(event_relay, a_reset_is_met_between_pieces)
+// The endpoint's bytes arrive before the caller's reset, so the relay encounters the reset in a
+// send.
+TEST(event_relay, caller_reset_between_pieces)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -455,7 +459,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_reset_is_met_by_the_end_of_a_stream)
+TEST(event_relay, caller_reset_before_the_end_of_a_stream)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -466,9 +470,9 @@
     this->finish(false);
 }
 
-// An event that follows no other spoils the run in the same piece that meets the reset: the run is
-// cancelled from within the call that brings its bytes.
-TEST(event_relay, a_reset_is_met_by_a_stream_with_a_gap)
+// An event out of sequence fails the run in the same piece that encounters the reset: the run is
+// cancelled from within the call that delivers its bytes.
+TEST(event_relay, caller_reset_before_a_gap_in_the_stream)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -479,19 +483,19 @@
     this->finish();
 }
 
-// The first endpoint's connection is reset after an event. The caller leaves while another endpoint
-// is asked to go on.
-TEST(event_relay, a_reset_while_another_endpoint_is_asked_to_go_on_ends_that_run)
+// The first endpoint's connection is reset after an event. The caller disconnects while another
+// endpoint is asked to resume the stream.
+TEST(event_relay, caller_reset_while_the_stream_is_resumed_ends_the_new_run)
 {
     this->reset_at("write again");
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
         .when(this->caller_has("id: 1"), [this] { this->run_at(0)->reset(); })
-        .until([this] { return this->dialect.acted > 0; });
+        .until([this] { return this->dialect.hook_calls > 0; });
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_the_pieces_of_the_endpoint_that_goes_on)
+TEST(event_relay, caller_reset_before_pieces_of_the_resumed_stream)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -503,7 +507,7 @@
     this->finish();
 }
 
-TEST(event_relay, a_stream_goes_on_at_another_endpoint_for_a_caller_that_stays)
+TEST(event_relay, a_broken_stream_is_resumed_at_another_endpoint)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -514,13 +518,13 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_the_refusal_after_the_endpoints_have_refused)
+TEST(event_relay, caller_reset_before_the_refusal_after_all_endpoints_refused)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("refuse");
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(refusal); })
-        .when([this] { return this->has_run(1)() || this->dialect.acted > 0; },
+        .when([this] { return this->has_run(1)() || this->dialect.hook_calls > 0; },
               [this] {
                   if (this->run_at(1) != nullptr) {
                       this->run_at(1)->send(refusal);
@@ -529,9 +533,9 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_an_endpoints_own_failure)
+TEST(event_relay, caller_reset_before_an_endpoints_error_answer)
 {
-    this->dialect.form.kind = work_kind::at_most_once;
+    this->dialect.prototype.kind = work_kind::at_most_once;
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
         this->run_at(0)->send("HTTP/1.1 500 X\r\nContent-Length: 3\r\n\r\nbad");
@@ -539,27 +543,27 @@
     this->finish(false);
 }
 
-// The small model doubts its answer, and the caller leaves while the large one is asked. The first
-// run is dropped from within the call that brings its head.
-TEST(event_relay, a_reset_while_a_larger_model_is_asked_ends_that_run)
+// The small model has low confidence in its answer, and the caller disconnects while the large
+// model is asked. The first run is dropped from within the call that delivers its head.
+TEST(event_relay, caller_reset_while_a_larger_model_is_asked_ends_the_new_run)
 {
-    this->dialect.form.kind = work_kind::idempotent;
-    this->dialect.form.models = {"small", "large"};
+    this->dialect.prototype.kind = work_kind::idempotent;
+    this->dialect.prototype.models = {"small", "large"};
     this->begin()
         .when(this->has_run(0),
               [this] {
                   this->reset_at("write");
-                  this->run_at(0)->send(whole("doubted", "Poor: yes\r\n"));
+                  this->run_at(0)->send(complete_answer("doubted", "Poor: yes\r\n"));
               })
-        .until([this] { return this->dialect.acted > 0; });
+        .until([this] { return this->dialect.hook_calls > 0; });
     this->finish(false);
 }
 
-// A plain answer too long to be held breaks off in the middle, and its caller has left.
-TEST(event_relay, a_reset_is_met_by_the_cut_of_a_long_plain_answer)
+// A plain answer that is too long to buffer breaks off, and its caller has disconnected.
+TEST(event_relay, caller_reset_before_a_long_plain_answer_breaks_off)
 {
-    this->settings.most_held = 4;
-    this->dialect.form.kind = work_kind::idempotent;
+    this->settings.max_buffered = 4;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
     this->begin().when(this->has_run(0), [this] {
         this->run_at(0)->send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\na long beginning");
@@ -568,48 +572,50 @@
     this->finish(false);
 }
 
-// The endpoint is silent past its time; the caller leaves while another one is asked.
-TEST(event_relay, a_reset_after_an_endpoints_silence_ends_the_next_run)
+// The endpoint times out. The caller disconnects while another endpoint is asked.
+TEST(event_relay, caller_reset_after_an_endpoint_timeout_ends_the_next_run)
 {
-    this->settings.least_patience = milliseconds(5);
-    this->settings.sign_of_life = milliseconds(0);
+    this->settings.min_answer_timeout = milliseconds(5);
+    this->settings.liveness_window = milliseconds(0);
     this->dialect.objective = milliseconds(10);
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->begin().when(this->has_run(0), [this] { this->reset_at("write"); }).until([this] {
-        return this->dialect.acted > 0;
+        return this->dialect.hook_calls > 0;
     });
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_is_met_by_the_refusal_at_a_deadline)
+TEST(event_relay, caller_reset_before_the_refusal_at_the_deadline)
 {
-    this->dialect.patience = milliseconds(30);
+    this->dialect.time_limit = milliseconds(30);
     this->reset_at("refuse");
     this->begin().until(this->has_run(0)).until([this] {
         this->relay->tick();
-        return this->dialect.acted > 0;
+        return this->dialect.hook_calls > 0;
     });
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_with_a_pipelined_request_ends_both)
+TEST(event_relay, caller_reset_ends_both_pipelined_requests)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->reset_at("pass on");
     this->open();
     this->caller->send(request() + request("/b"));
-    this->script->when(this->has_run(0), [this] { this->run_at(0)->send(whole("answer")); });
+    this->script->when(this->has_run(0),
+                       [this] { this->run_at(0)->send(complete_answer("answer")); });
     this->finish(false);
 }
 
-// The second request is refused by the router itself, in the moment in which the first one's end
-// makes room for it.
+// The router itself refuses the second request, at the moment when the first one ends and makes
+// room for it.
 TEST(event_relay, pipelined_requests_are_answered_in_order)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->open();
     this->caller->send(request() + request("/nowhere"));
-    this->script->when(this->has_run(0), [this] { this->run_at(0)->send(whole("answer")); })
+    this->script
+        ->when(this->has_run(0), [this] { this->run_at(0)->send(complete_answer("answer")); })
         .when(this->caller_has("nowhere"), [this] {
             CHECK_TRUE(this->caller->received().find("answer") <
                        this->caller->received().find("nowhere"));
@@ -618,11 +624,11 @@
     this->finish(false);
 }
 
-// An endpoint sends an event without an end. The router kept all of it, for ever. Past the bound
-// the run is given up like one that broke off, and another endpoint goes on.
-TEST(event_relay, an_event_without_an_end_does_not_fill_the_memory)
+// An endpoint sends an event without an end, which the router once kept buffering without limit.
+// Beyond the limit the run is given up as broken, and another endpoint resumes the stream.
+TEST(event_relay, an_event_without_an_end_does_not_exhaust_memory)
 {
-    this->settings.most_event = 1000;
+    this->settings.max_event_size = 1000;
     this->begin()
         .when(this->has_run(0),
               [this] {
@@ -636,13 +642,14 @@
     CHECK_FALSE(this->caller->has("xxx"));
 }
 
-// The caller takes nothing until its endpoint is no longer read. Then it takes all.
-TEST(event_relay, a_slow_caller_gets_the_whole_stream)
+// The caller reads nothing until the relay stops reading from the endpoint. Then it reads
+// everything.
+TEST(event_relay, a_slow_caller_gets_the_complete_stream)
 {
-    this->settings.most_unsent = 1;
+    this->settings.max_unsent = 1;
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(long_stream() + stream_end()); })
-        .until(this->is_stuck())
+        .until(this->is_blocked())
         .when(
             [this] {
                 this->run_at(0)->flush();
@@ -652,63 +659,65 @@
     this->finish(false);
 }
 
-TEST(event_relay, a_reset_while_the_endpoint_is_not_read_ends_the_run)
+TEST(event_relay, caller_reset_while_the_endpoint_is_paused_ends_the_run)
 {
-    this->settings.most_unsent = 1;
+    this->settings.max_unsent = 1;
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(long_stream()); })
-        .when(this->is_stuck(), [this] { this->caller->reset(); });
+        .when(this->is_blocked(), [this] { this->caller->reset(); });
     this->finish();
 }
 
-// The caller's request is lost with its endpoint, and its team is gone by then. The caller is told
-// that it may have run, once; the next caller is served by the same router.
-TEST(event_relay, a_request_lost_when_its_team_is_gone_is_refused)
+// The endpoint fails with the caller's request after the caller's team was removed. The caller is
+// told once that the request may have run; the same router serves the next caller.
+TEST(event_relay, a_request_lost_after_its_team_was_removed_is_refused)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->begin()
         .when(this->has_run(0),
               [this] {
                   this->remove_team();
                   this->run_at(0)->reset();
               })
-        .when(this->caller_has("refused, may have run"), [this] { this->leave(); });
+        .when(this->caller_has("refused, may have run"), [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_EQUAL(1U, this->sends_of("GET /a "));
 }
 
-// The endpoint answers, though badly, and its team is gone. The caller gets the endpoint's answer.
-TEST(event_relay, an_endpoints_own_failure_is_passed_on_when_its_team_is_gone)
+// The endpoint answers with an error after the team was removed. The caller gets the endpoint's
+// answer.
+TEST(event_relay, an_endpoints_error_answer_is_forwarded_after_the_team_was_removed)
 {
-    this->dialect.form.kind = work_kind::idempotent;
+    this->dialect.prototype.kind = work_kind::idempotent;
     this->begin()
         .when(this->has_run(0),
               [this] {
                   this->remove_team();
                   this->run_at(0)->send("HTTP/1.1 500 X\r\nContent-Length: 3\r\n\r\nbad");
               })
-        .when(this->caller_has(" 500 "), [this] { this->leave(); });
+        .when(this->caller_has(" 500 "), [this] { this->disconnect_caller(); });
     this->finish(false);
 }
 
-// The small model doubts its answer, and its team is gone: no larger model may be asked. The caller
-// gets the answer that there is.
-TEST(event_relay, a_doubted_answer_is_passed_on_when_its_team_is_gone)
+// The small model has low confidence in its answer, and the team was removed, so no larger model
+// may be asked. The caller gets the small model's answer.
+TEST(event_relay, a_low_confidence_answer_is_forwarded_after_the_team_was_removed)
 {
-    this->dialect.form.kind = work_kind::idempotent;
-    this->dialect.form.models = {"small", "large"};
+    this->dialect.prototype.kind = work_kind::idempotent;
+    this->dialect.prototype.models = {"small", "large"};
     this->begin()
         .when(this->has_run(0),
               [this] {
                   this->remove_team();
-                  this->run_at(0)->send(whole("doubted", "Poor: yes\r\n"));
+                  this->run_at(0)->send(complete_answer("doubted", "Poor: yes\r\n"));
               })
-        .when(this->caller_has("doubted"), [this] { this->leave(); });
+        .when(this->caller_has("doubted"), [this] { this->disconnect_caller(); });
     this->finish(false);
 }
 
-// A stream is half there when its team is removed. It was sent before: the caller gets all of it.
-TEST(event_relay, a_stream_goes_on_to_its_end_when_its_team_is_gone)
+// The team is removed in the middle of a stream. The request was sent before, so the caller gets
+// the complete stream.
+TEST(event_relay, a_stream_completes_after_its_team_was_removed)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -717,14 +726,14 @@
                   this->remove_team();
                   this->run_at(0)->send(event(2) + stream_end());
               })
-        .when(this->caller_has(stream_end()), [this] { this->leave(); });
+        .when(this->caller_has(stream_end()), [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_TRUE(this->caller->has("id: 2"));
 }
 
-// As above, but its endpoint is lost: no other one is asked to go on. The caller's connection ends
-// without the stream's end, so that it cannot take the part for the whole.
-TEST(event_relay, a_stream_that_breaks_when_its_team_is_gone_is_cut_off)
+// As above, but the endpoint is lost and no other one may resume the stream. The caller's
+// connection ends without the end of the stream, so that the caller notices that it is incomplete.
+TEST(event_relay, a_stream_that_breaks_after_its_team_was_removed_is_cut_off)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
@@ -733,15 +742,15 @@
                   this->remove_team();
                   this->run_at(0)->reset();
               })
-        .when([this] { return this->caller->is_ended(); }, [this] { this->leave(); });
+        .when([this] { return this->caller->is_ended(); }, [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_FALSE(this->caller->has(stream_end()));
     CHECK_EQUAL(1U, this->sends_of("GET /a "));
 }
 
-// The caller waits, as the router cannot tell whether its configuration is in force. The one that
-// is in force has no place for the caller: it is refused once that is known, and never sent.
-TEST(event_relay, a_waiting_request_is_refused_unrun_when_its_team_is_gone)
+// The request waits because the router cannot confirm its configuration. The configuration that is
+// then confirmed does not allow the caller: the request is refused and never sent.
+TEST(event_relay, a_waiting_request_is_refused_as_not_run_after_its_team_was_removed)
 {
     this->dispatcher->on_config_confirmed(this->loop.now(), this->loop.now());
     this->begin()
@@ -751,20 +760,20 @@
                   this->dispatcher->on_config_confirmed(decision::instant::max(), this->loop.now());
                   this->relay->run_actions();
               })
-        .when(this->caller_has("refused, not run"), [this] { this->leave(); });
+        .when(this->caller_has("refused, not run"), [this] { this->disconnect_caller(); });
     this->finish(false);
     CHECK_EQUAL(0U, this->sends_of("GET /a "));
 }
 
-// Half of the caller's request is there when its team is removed and the bounds of requests are
-// lowered. It is taken whole, by what is in force when it ends: a refusal, and not a closed
-// connection.
-TEST(event_relay, a_request_that_is_being_read_in_a_change_is_answered)
+// The team is removed and the request limits are lowered when half of the request has arrived. The
+// router still reads it completely and applies the configuration in force at its end: the caller
+// gets a refusal instead of a closed connection.
+TEST(event_relay, a_request_being_read_during_a_configuration_change_is_answered)
 {
     this->open();
     this->caller->send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nhalf");
     this->script
-        ->when([looks = 0]() mutable { return ++looks > 20; },
+        ->when([checks = 0]() mutable { return ++checks > 20; },
                [this] {
                    adapters::inbound_limits lower;
                    lower.body_bytes = 4;
@@ -776,14 +785,14 @@
                })
         .when(this->caller_has("refused, not run"), [this] {
             this->callers->set_limits({});
-            this->leave();
+            this->disconnect_caller();
         });
     this->finish(false);
     CHECK_EQUAL(0U, this->sends_of("POST /a "));
 }
 
-// The router ends with a stream under way, and a loss that nobody has been told of.
-TEST(event_relay, a_router_may_end_with_a_loss_untold)
+// The relay is destroyed with a stream in flight and a caller's reset that was not delivered yet.
+TEST(event_relay, the_relay_may_be_destroyed_with_an_undelivered_caller_reset)
 {
     this->begin()
         .when(this->has_run(0), [this] { this->run_at(0)->send(stream_head + event(1)); })
--- a/router/test/request_claim_test.cpp
+++ b/router/test/request_claim_test.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr pearhaven::coordination::claim_number number = 7;
-constexpr std::chrono::milliseconds patience{1};
+constexpr std::chrono::milliseconds timeout{1};
 
-class kept_events : public fleet_sink {
+class recording_sink : public fleet_sink {
 public:
     bool submit(fleet_event event) override
     {
@@ -37,15 +37,15 @@
 
 TEST_GROUP(request_claim)
 {
-    kept_events fleet;
+    recording_sink fleet;
 };
 
-TEST(request_claim, a_granted_claim_is_told_how_the_request_ended)
+TEST(request_claim, a_granted_claim_is_settled_with_the_outcome)
 {
     const exchange_ptr request(new exchange);
     request->push(granted());
-    request_claim claim(this->fleet, request, patience);
-    CHECK_FALSE(claim.take("key").has_value());
+    request_claim claim(this->fleet, request, timeout);
+    CHECK_FALSE(claim.acquire("key").has_value());
     claim.settle(run_state::ran, "whole");
     const auto& settled = std::get<claim_settled>(this->fleet.events.at(1));
     CHECK_TRUE(settled.claim == number);
@@ -55,30 +55,29 @@
 TEST(request_claim, a_claim_that_is_not_decided_in_time_is_refused_as_not_run)
 {
     const exchange_ptr request(new exchange);
-    request_claim claim(this->fleet, request, patience);
-    const auto refused = claim.take("key");
+    request_claim claim(this->fleet, request, timeout);
+    const auto refused = claim.acquire("key");
     CHECK_TRUE(refused.has_value() && refused->run == run_state::not_run);
-    CHECK_TRUE(request->claim_dropped.load());
+    CHECK_TRUE(request->claim_abandoned.load());
 }
 
-// A paused router wakes after the caller's thread has lost patience, and the claim is granted at
-// that same moment. The fleet thread, told that the caller has left, closes the claim as not run;
-// if the caller's thread took the grant all the same, a resend elsewhere would run the request
-// again.
-TEST(request_claim, a_claim_granted_while_it_is_dropped_never_runs)
+// A stalled router resumes after the claim has timed out in the caller's thread, and the claim is
+// granted at that moment. The fleet thread closes the abandoned claim as not run. If the caller's
+// thread used the grant anyway, a resend elsewhere would run the request again.
+TEST(request_claim, a_claim_granted_while_it_is_abandoned_never_runs)
 {
     int taken_after_close = 0;
     for (int round = 0; round < 500; ++round) {
         const exchange_ptr request(new exchange);
         bool closed = false;
         std::thread fleet_thread([&] {
-            while (!request->claim_dropped.load()) {
+            while (!request->claim_abandoned.load()) {
             }
             request->push(granted());
-            closed = request->claim_dropped.load();
+            closed = request->claim_abandoned.load();
         });
-        request_claim claim(this->fleet, request, patience);
-        const bool taken = !claim.take("key").has_value();
+        request_claim claim(this->fleet, request, timeout);
+        const bool taken = !claim.acquire("key").has_value();
         fleet_thread.join();
         taken_after_close += taken && closed ? 1 : 0;
     }
