--- a/coordination/src/rollout_progress.cpp
+++ b/coordination/src/rollout_progress.cpp
@@ -448,8 +448,8 @@
     return fills ? progress_state::load_trial : progress_state::full_traffic;
 }
 
-// A version with inconclusive results under load does not get all traffic to gather more: spread
-// over all endpoints, that traffic loads none of them.
+// A version with inconclusive results under load does not get all traffic to gather more of
+// them: spread over all endpoints, that traffic loads none of them.
 std::optional<progress_state> rollout_progress::state_after_trial(std::size_t size,
                                                                   decision::instant now) const
 {
@@ -461,9 +461,9 @@
                                                         : std::nullopt;
 }
 
-// Without the last checks, a version with half of its answers slow got all traffic two seconds
-// before the end of its order, and the answers that would have shown it arrived after it was
-// finished.
+// Requires a minimum time at full traffic and no inconclusive result. Otherwise a version with half
+// of its answers slow could get all traffic two seconds before the end of its order and finish
+// before the answers that show it arrive.
 std::optional<progress_state>
 rollout_progress::state_after_full_traffic(decision::duration in_step,
                                            decision::duration elapsed) const
