--- a/adapters/include/pearhaven/adapters/event_loop.hpp
+++ b/adapters/include/pearhaven/adapters/event_loop.hpp
@@ -84,7 +84,7 @@
 
     // Names what the callback that is being run does, for whoever hears of pauses. The text must
     // outlive the loop.
-    void name_work(std::string_view what);
+    void set_work_name(std::string_view what);
 
     // Runs until `stop`.
     void run();
--- a/adapters/include/pearhaven/adapters/http_inbound.hpp
+++ b/adapters/include/pearhaven/adapters/http_inbound.hpp
@@ -54,7 +54,7 @@
     virtual void on_caller_gone(inbound_exchange& exchange) = 0;
 
     // All that was written has left, after `unsent` was above zero.
-    virtual void on_room(inbound_exchange& exchange) = 0;
+    virtual void on_flushed(inbound_exchange& exchange) = 0;
 };
 
 // Bounds on what callers may send. They may change at any time; longer times and larger bodies hold
--- a/adapters/include/pearhaven/adapters/http_outbound.hpp
+++ b/adapters/include/pearhaven/adapters/http_outbound.hpp
@@ -44,12 +44,12 @@
     malformed,
 };
 
-struct outbound_break {
+struct outbound_failure {
     outbound_fault why = outbound_fault::not_connected;
     bool answer_began = false; // a head came
     bool was_reused = false;   // the connection had carried another exchange
 
-    friend bool operator==(const outbound_break&, const outbound_break&) = default;
+    friend bool operator==(const outbound_failure&, const outbound_failure&) = default;
 };
 
 // What to do with an answer of which the head has come.
@@ -60,7 +60,7 @@
 };
 
 // Receives one exchange, on the loop's thread: heads and pieces, then one of `on_end` and
-// `on_break`, unless it is cancelled or dropped. Never called in the middle of a call into the
+// `on_failure`, unless it is cancelled or dropped. Never called in the middle of a call into the
 // client, and not destroyed by the client in the middle of its own functions, which may call the
 // client in turn.
 class outbound_listener
@@ -74,7 +74,7 @@
     // Nothing came within the time allowed. Whether to give the exchange up; if not, the same time
     // begins anew.
     [[nodiscard]] virtual bool on_silence() { return true; }
-    virtual void on_break(const outbound_break& how) = 0;
+    virtual void on_failure(const outbound_failure& how) = 0;
 };
 
 using outbound_listener_ptr = boost::intrusive_ptr<outbound_listener>;
@@ -131,19 +131,19 @@
                                                   const http_outbound_settings& settings);
 
 // A whole short answer; `status` is 0 where none came whole.
-struct whole_answer {
+struct collected_answer {
     int status = 0;
     http_fields fields;
     std::string body;
-    outbound_break broken; // how, where `status` is 0
+    outbound_failure broken; // how, where `status` is 0
 
-    friend bool operator==(const whole_answer&, const whole_answer&) = default;
+    friend bool operator==(const collected_answer&, const collected_answer&) = default;
 };
 
 // A listener that gathers an answer and hands it over once it is whole or has failed. Bodies over
 // `max_body` bytes count as malformed.
-outbound_listener_ptr gather_answer(std::size_t max_body,
-                                    std::function<void(const whole_answer&)> done);
+outbound_listener_ptr collect_answer(std::size_t max_body,
+                                     std::function<void(const collected_answer&)> done);
 
 } // namespace pearhaven::adapters
 
--- a/adapters/src/event_loop.cpp
+++ b/adapters/src/event_loop.cpp
@@ -212,7 +212,7 @@
     this->inner->tell_pause = std::move(told);
 }
 
-void event_loop::name_work(std::string_view what)
+void event_loop::set_work_name(std::string_view what)
 {
     this->inner->work = what;
 }
--- a/adapters/src/http_outbound.cpp
+++ b/adapters/src/http_outbound.cpp
@@ -186,7 +186,7 @@
 
 class answer_gatherer final : public outbound_listener {
 public:
-    answer_gatherer(std::size_t most, std::function<void(const whole_answer&)> told)
+    answer_gatherer(std::size_t most, std::function<void(const collected_answer&)> told)
         : max_body(most), done(std::move(told))
     {}
 
@@ -208,23 +208,23 @@
     void on_end() override
     {
         if (this->too_long) {
-            this->on_break({outbound_fault::malformed, true, false});
+            this->on_failure({outbound_fault::malformed, true, false});
             return;
         }
         this->done(this->gathered);
     }
 
-    void on_break(const outbound_break& how) override
+    void on_failure(const outbound_failure& how) override
     {
-        whole_answer none;
+        collected_answer none;
         none.broken = how;
         this->done(none);
     }
 
 private:
     std::size_t max_body;
-    std::function<void(const whole_answer&)> done;
-    whole_answer gathered;
+    std::function<void(const collected_answer&)> done;
+    collected_answer gathered;
     bool too_long = false;
 };
 
@@ -236,8 +236,8 @@
     return std::make_unique<outbound_client>(loop, settings);
 }
 
-outbound_listener_ptr gather_answer(std::size_t max_body,
-                                    std::function<void(const whole_answer&)> done)
+outbound_listener_ptr collect_answer(std::size_t max_body,
+                                     std::function<void(const collected_answer&)> done)
 {
     return new answer_gatherer(max_body, std::move(done));
 }
--- a/adapters/src/inbound_socket.cpp
+++ b/adapters/src/inbound_socket.cpp
@@ -128,7 +128,7 @@
             if (this->step == phase::lingering) {
                 ::shutdown(this->number(), SHUT_WR);
             } else if (const auto told = this->exchange) {
-                this->host.listener().on_room(*told);
+                this->host.listener().on_flushed(*told);
             }
         }
     }
--- a/adapters/src/outbound_socket.cpp
+++ b/adapters/src/outbound_socket.cpp
@@ -300,13 +300,13 @@
         return;
     }
     const auto told = std::move(this->listener);
-    outbound_break how;
+    outbound_failure how;
     how.why = why;
     how.answer_began = this->head_came;
     how.was_reused = this->reused;
     this->close();
     if (told) {
-        told->on_break(how);
+        told->on_failure(how);
     }
 }
 
--- a/adapters/test/event_loop_test.cpp
+++ b/adapters/test/event_loop_test.cpp
@@ -347,7 +347,7 @@
     loop.watch(this->first[0], unnamed, true, false);
     CHECK_EQUAL(1, write(this->first[1], "x", 1));
     loop.after(2 * work, [&loop, work] {
-        loop.name_work("sums");
+        loop.set_work_name("sums");
         std::this_thread::sleep_for(work);
     });
     loop.after(4 * work, [&loop] { loop.stop(); });
--- a/adapters/test/http_inbound_test.cpp
+++ b/adapters/test/http_inbound_test.cpp
@@ -39,7 +39,7 @@
         ++this->gone;
         std::erase_if(this->held, [&exchange](const auto& one) { return one.get() == &exchange; });
     }
-    void on_room(inbound_exchange& /*exchange*/) override
+    void on_flushed(inbound_exchange& /*exchange*/) override
     {
         this->note_call();
         ++this->rooms;
--- a/adapters/test/http_outbound_test.cpp
+++ b/adapters/test/http_outbound_test.cpp
@@ -100,12 +100,12 @@
     }
     void on_body(std::string_view piece) override { this->body.append(piece); }
     void on_end() override { this->ended = true; }
-    void on_break(const outbound_break& how) override { this->broken = how; }
+    void on_failure(const outbound_failure& how) override { this->broken = how; }
 
     std::vector<int> statuses;
     std::string body;
     bool ended = false;
-    std::optional<outbound_break> broken;
+    std::optional<outbound_failure> broken;
 };
 
 // Cancels its own exchange in the middle of one of its functions, and says when it is destroyed.
@@ -143,7 +143,7 @@
         return true;
     }
     void on_end() override { ++this->seen.ended; }
-    void on_break(const outbound_break& /*how*/) override { ++this->seen.ended; }
+    void on_failure(const outbound_failure& /*how*/) override { ++this->seen.ended; }
 
     outbound_number exchange = 0;
 
@@ -172,7 +172,7 @@
     head_verdict on_head(const http_response_head& /*head*/) override { return head_verdict::take; }
     void on_body(std::string_view /*piece*/) override {}
     void on_end() override { this->client.start(this->target, {}, std::move(this->next)); }
-    void on_break(const outbound_break& /*how*/) override { this->on_end(); }
+    void on_failure(const outbound_failure& /*how*/) override { this->on_end(); }
 
 private:
     http_outbound& client;
@@ -189,7 +189,7 @@
     head_verdict on_head(const http_response_head& /*head*/) override { return head_verdict::take; }
     void on_body(std::string_view /*piece*/) override {}
     void on_end() override {}
-    void on_break(const outbound_break& /*how*/) override
+    void on_failure(const outbound_failure& /*how*/) override
     {
         if (++this->count < most_tries) {
             this->client.start(this->target, {}, this);
@@ -312,7 +312,7 @@
     this->endpoint->answers = {answer};
     outbound_request other;
     other.fields = {{"Host", "h"}};
-    const auto hold_loop = [&slow_endpoint, patience](const whole_answer& /*brought*/) {
+    const auto hold_loop = [&slow_endpoint, patience](const collected_answer& /*brought*/) {
         slow_endpoint.connections().front()->send(answer);
         std::this_thread::sleep_for(patience + milliseconds(500));
     };
@@ -325,7 +325,7 @@
             },
             [this, &other, &hold_loop] {
                 this->client->start(this->endpoint->target(), other,
-                                    gather_answer(1024, hold_loop));
+                                    collect_answer(1024, hold_loop));
             })
         .until([&waiting] { return waiting->ended || waiting->broken; });
     CHECK_TRUE(script.run());
--- a/router/include/pearhaven/router/event_relay.hpp
+++ b/router/include/pearhaven/router/event_relay.hpp
@@ -62,7 +62,7 @@
 
     void on_request(adapters::inbound_exchange_ptr caller) override;
     void on_caller_gone(adapters::inbound_exchange& caller) override;
-    void on_room(adapters::inbound_exchange& caller) override;
+    void on_flushed(adapters::inbound_exchange& caller) override;
 
     // Carries out what the dispatcher wants. To be called after each event that it was told
     // directly.
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -41,7 +41,7 @@
     return target;
 }
 
-attempt_result result_of(const adapters::outbound_break& how)
+attempt_result result_of(const adapters::outbound_failure& how)
 {
     switch (how.why) {
     case adapters::outbound_fault::not_connected:
@@ -117,8 +117,8 @@
     void on_body(ticket_number ticket, decision::attempt_number attempt, std::string_view piece);
     void on_end(ticket_number ticket, decision::attempt_number attempt);
     bool on_silence(ticket_number ticket, decision::attempt_number attempt);
-    void on_break(ticket_number ticket, decision::attempt_number attempt,
-                  const adapters::outbound_break& how);
+    void on_failure(ticket_number ticket, decision::attempt_number attempt,
+                    const adapters::outbound_failure& how);
 
     adapters::event_loop& loop;
     adapters::http_outbound& endpoints;
@@ -172,7 +172,7 @@
     void on_body(std::string_view piece) override;
     void on_end() override;
     bool on_silence() override;
-    void on_break(const adapters::outbound_break& how) override;
+    void on_failure(const adapters::outbound_failure& how) override;
 
 private:
     boost::intrusive_ptr<event_relay::state> relay;
@@ -528,8 +528,8 @@
     return !lives || relayed->attempt.silences >= this->settings.most_silences;
 }
 
-void event_relay::state::on_break(ticket_number ticket, decision::attempt_number attempt,
-                                  const adapters::outbound_break& how)
+void event_relay::state::on_failure(ticket_number ticket, decision::attempt_number attempt,
+                                    const adapters::outbound_failure& how)
 {
     auto* relayed = this->find(ticket, attempt);
     if (relayed == nullptr) {
@@ -706,9 +706,9 @@
     return this->relay->on_silence(this->ticket, this->attempt);
 }
 
-void attempt_listener::on_break(const adapters::outbound_break& how)
+void attempt_listener::on_failure(const adapters::outbound_failure& how)
 {
-    this->relay->on_break(this->ticket, this->attempt, how);
+    this->relay->on_failure(this->ticket, this->attempt, how);
 }
 
 } // namespace
@@ -731,7 +731,7 @@
     this->inner->caller_gone(caller);
 }
 
-void event_relay::on_room(adapters::inbound_exchange& caller)
+void event_relay::on_flushed(adapters::inbound_exchange& caller)
 {
     this->inner->room(caller);
 }
