--- a/adapters/include/pearhaven/adapters/event_loop.hpp
+++ b/adapters/include/pearhaven/adapters/event_loop.hpp
@@ -71,7 +71,7 @@
     // All that had come to a watched socket by this moment has been told to its listener, though a
     // listener may have read only a part. A silence is to be judged by it: while a callback takes
     // long the clock goes on, and what has come meanwhile is read only afterwards.
-    [[nodiscard]] decision::instant heard_until() const;
+    [[nodiscard]] decision::instant polled_until() const;
 
     // The same clock at this moment. For any thread.
     [[nodiscard]] static decision::instant read_clock();
--- a/adapters/include/pearhaven/adapters/http_outbound.hpp
+++ b/adapters/include/pearhaven/adapters/http_outbound.hpp
@@ -135,7 +135,7 @@
     int status = 0;
     http_fields fields;
     std::string body;
-    outbound_failure broken; // how, where `status` is 0
+    outbound_failure failure; // how, where `status` is 0
 
     friend bool operator==(const collected_answer&, const collected_answer&) = default;
 };
--- a/adapters/src/event_loop.cpp
+++ b/adapters/src/event_loop.cpp
@@ -41,9 +41,9 @@
     std::map<timer_number, std::function<void()>> soon; // in the order in which they were asked for
     timer_number last_timer = 0;
     decision::instant clock = read_clock();
-    decision::instant heard_until{}; // before the first look nothing has been heard
-    std::size_t full_looks = 0;      // in a row, after which more sockets may have been ready
-    std::string_view work;           // of the callback that is being run
+    decision::instant polled_until{}; // before the first look nothing has been heard
+    std::size_t full_looks = 0;       // in a row, after which more sockets may have been ready
+    std::string_view work;            // of the callback that is being run
     decision::duration least_pause{};
     std::function<void(const loop_pause&)> tell_pause;
     std::atomic<bool> stopping{false};
@@ -89,7 +89,7 @@
 void event_loop::state::run_timers()
 {
     // Those that became due since the sockets were looked at wait for the next turn.
-    const auto due_by = this->heard_until;
+    const auto due_by = this->polled_until;
     while (!this->timers.empty() && this->timers.begin()->first.first <= due_by) {
         const auto node = this->timers.extract(this->timers.begin());
         this->due.erase(node.key().second);
@@ -132,7 +132,7 @@
     const bool may_lack_some = this->sockets.was_full() && this->full_looks < most_full_looks;
     this->full_looks = may_lack_some ? this->full_looks + 1 : 0;
     if (!may_lack_some) {
-        this->heard_until = looked_at;
+        this->polled_until = looked_at;
     }
 }
 
@@ -192,9 +192,9 @@
     return this->inner->clock;
 }
 
-decision::instant event_loop::heard_until() const
+decision::instant event_loop::polled_until() const
 {
-    return this->inner->heard_until;
+    return this->inner->polled_until;
 }
 
 void event_loop::post(std::function<void()> task)
--- a/adapters/src/http_inbound.cpp
+++ b/adapters/src/http_inbound.cpp
@@ -131,7 +131,7 @@
 void inbound_server::check_later()
 {
     this->check = this->events.after(check_period, [this] {
-        const auto until = this->events.heard_until();
+        const auto until = this->events.polled_until();
         this->for_each([until](inbound_socket& connection) { connection.check_time(until); });
         this->check_later();
     });
--- a/adapters/src/http_outbound.cpp
+++ b/adapters/src/http_outbound.cpp
@@ -217,7 +217,7 @@
     void on_failure(const outbound_failure& how) override
     {
         collected_answer none;
-        none.broken = how;
+        none.failure = how;
         this->done(none);
     }
 
--- a/adapters/src/inbound_socket.cpp
+++ b/adapters/src/inbound_socket.cpp
@@ -380,9 +380,9 @@
 // A caller that was not listened to is not one that is silent: while the router is busy for seconds
 // with something else, requests come and are not read, and their connections would be closed as
 // idle, or refused as too slow, with the whole request in them. What was heard until then decides.
-void inbound_socket::check_time(decision::instant heard_until)
+void inbound_socket::check_time(decision::instant polled_until)
 {
-    const auto waited = heard_until - this->since;
+    const auto waited = polled_until - this->since;
     if (this->step == phase::lingering && waited > linger_bound) {
         this->close(false);
         return;
--- a/adapters/src/inbound_socket.hpp
+++ b/adapters/src/inbound_socket.hpp
@@ -84,7 +84,7 @@
 
     // Ends what has taken longer than the limits allow. To be called now and then, with the time
     // up to which all that came has been told.
-    void check_time(decision::instant heard_until);
+    void check_time(decision::instant polled_until);
 
     // Closes the connection, at its turn, if nothing has come on it by then.
     void close_if_idle();
--- a/adapters/src/outbound_socket.cpp
+++ b/adapters/src/outbound_socket.cpp
@@ -120,7 +120,7 @@
     auto& loop = this->host.loop();
     this->timer = 0;
     // Not by the clock: what came while the loop was busy with something else has not been read.
-    const auto waited = loop.heard_until() - this->last_progress;
+    const auto waited = loop.polled_until() - this->last_progress;
     if (this->paused || waited < this->bound) {
         const auto left = this->paused ? this->bound : this->bound - waited;
         this->timer = loop.after(left, [this] { this->on_time(); });
--- a/adapters/test/event_loop_test.cpp
+++ b/adapters/test/event_loop_test.cpp
@@ -247,7 +247,7 @@
     acting_reader busy(this->first[0], [&] {
         CHECK_EQUAL(1, write(this->second[1], "x", 1));
         std::this_thread::sleep_for(2 * due);
-        heard_when_busy = loop.heard_until();
+        heard_when_busy = loop.polled_until();
     });
     acting_reader caller(this->second[0], [&order] { order += "caller "; });
     loop.watch(this->first[0], busy, true, false);
@@ -256,7 +256,7 @@
     const auto began = adapters::event_loop::read_clock();
     loop.after(due, [&] {
         order += "timer";
-        CHECK_TRUE(loop.heard_until() >= began + 2 * due);
+        CHECK_TRUE(loop.polled_until() >= began + 2 * due);
         loop.stop();
     });
     loop.run();
--- a/router/src/event_relay.cpp
+++ b/router/src/event_relay.cpp
@@ -524,7 +524,7 @@
     const auto heard = this->last_heard.find(relayed->attempt.endpoint.address);
     const bool lives = heard != this->last_heard.end() &&
                        heard->second.incarnation == relayed->attempt.endpoint.incarnation &&
-                       this->loop.heard_until() - heard->second.at < this->settings.sign_of_life;
+                       this->loop.polled_until() - heard->second.at < this->settings.sign_of_life;
     return !lives || relayed->attempt.silences >= this->settings.most_silences;
 }
 
@@ -744,7 +744,7 @@
 void event_relay::tick()
 {
     const auto& loop = this->inner->loop;
-    this->inner->dispatcher.on_tick(loop.now(), loop.heard_until());
+    this->inner->dispatcher.on_tick(loop.now(), loop.polled_until());
     this->inner->run_actions();
 }
 
