--- a/adapters/include/pearhaven/adapters/event_loop.hpp
+++ b/adapters/include/pearhaven/adapters/event_loop.hpp
@@ -80,7 +80,8 @@
     void post(std::function<void()> task);
 
     // `told` hears of each callback that takes at least `least`, once it has returned.
-    void watch_pauses(decision::duration least, std::function<void(const loop_pause&)> told);
+    void watch_pauses(decision::duration min_pause,
+                      std::function<void(const loop_pause&)> on_pause);
 
     // Names what the callback that is being run does, for whoever hears of pauses. The text must
     // outlive the loop.
--- a/adapters/include/pearhaven/adapters/http_message.hpp
+++ b/adapters/include/pearhaven/adapters/http_message.hpp
@@ -45,10 +45,10 @@
 // Why bytes are not a message that may be passed on.
 enum class framing_fault : std::uint8_t {
     none,
-    malformed,         // not HTTP, or a form that two readers could take for different messages
-    head_too_long,     // more header bytes than allowed
-    too_early,         // the connection ended inside a message
-    bytes_unaccounted, // bytes where no message was due
+    malformed,        // not HTTP, or a form that two readers could take for different messages
+    head_too_long,    // more header bytes than allowed
+    truncated,        // the connection ended inside a message
+    unexpected_bytes, // bytes where no message was due
 };
 
 // What a reader found. Functions are called in the order of the message.
--- a/adapters/include/pearhaven/adapters/http_outbound.hpp
+++ b/adapters/include/pearhaven/adapters/http_outbound.hpp
@@ -87,14 +87,14 @@
     // How long a connection may rest when its other end names no time; ends that close sooner than
     // a whole second name none. A request that meets the close is lost, and what must not run twice
     // is lost for good, so this is short: long enough for a burst's next request.
-    decision::duration unnamed_idle_time = std::chrono::milliseconds(300);
+    decision::duration default_idle_time = std::chrono::milliseconds(300);
 
     // Taken off a time that the other end names, for the way there and late timers.
     decision::duration idle_margin = std::chrono::milliseconds(400);
 
     // Longest time that the other host may leave sent bytes unacknowledged. Something between the
     // two ends may have lost track of a connection: only this shows it.
-    std::chrono::milliseconds unacknowledged_time{2000};
+    std::chrono::milliseconds unacknowledged_timeout{2000};
 };
 
 struct outbound_counts {
--- a/adapters/src/buffered_socket.cpp
+++ b/adapters/src/buffered_socket.cpp
@@ -12,14 +12,15 @@
         this->total += transfer.bytes;
         bytes.remove_prefix(transfer.bytes);
     }
-    this->kept.append(bytes);
+    this->pending.append(bytes);
     return true;
 }
 
 bool buffered_socket::flush()
 {
     while (this->unsent() > 0) {
-        const auto transfer = this->socket.write(std::string_view(this->kept).substr(this->sent));
+        const auto transfer =
+            this->socket.write(std::string_view(this->pending).substr(this->sent));
         if (transfer.outcome == tcp_outcome::closed) {
             return false;
         }
@@ -29,7 +30,7 @@
         this->sent += transfer.bytes;
         this->total += transfer.bytes;
     }
-    this->kept.clear();
+    this->pending.clear();
     this->sent = 0;
     return true;
 }
--- a/adapters/src/buffered_socket.hpp
+++ b/adapters/src/buffered_socket.hpp
@@ -21,14 +21,14 @@
     // Sends kept bytes. False when the connection is lost.
     [[nodiscard]] bool flush();
 
-    [[nodiscard]] std::size_t unsent() const { return this->kept.size() - this->sent; }
+    [[nodiscard]] std::size_t unsent() const { return this->pending.size() - this->sent; }
     [[nodiscard]] std::size_t total_sent() const { return this->total; }
     [[nodiscard]] tcp_socket& get() { return this->socket; }
     [[nodiscard]] const tcp_socket& get() const { return this->socket; }
 
 private:
     tcp_socket socket;
-    std::string kept;
+    std::string pending;
     std::size_t sent = 0;  // of `kept`
     std::size_t total = 0; // since the start
 };
--- a/adapters/src/deadline_index.hpp
+++ b/adapters/src/deadline_index.hpp
@@ -15,12 +15,12 @@
 public:
     friend bool operator<(const with_deadline& left, const with_deadline& right)
     {
-        return left.next_look < right.next_look;
+        return left.next_check < right.next_check;
     }
 
 private:
     friend class deadline_index;
-    monotonic_time next_look;
+    monotonic_time next_check;
 };
 
 // Orders objects by when to look at them next. A deadline that moves later, as with each byte that
@@ -31,12 +31,12 @@
     void arm(with_deadline& object, monotonic_time deadline)
     {
         if (object.is_linked()) {
-            if (object.next_look <= deadline) {
+            if (object.next_check <= deadline) {
                 return;
             }
             this->disarm(object);
         }
-        object.next_look = deadline;
+        object.next_check = deadline;
         this->order.insert(object);
     }
 
@@ -52,13 +52,13 @@
         if (this->order.empty()) {
             return std::nullopt;
         }
-        return this->order.begin()->next_look;
+        return this->order.begin()->next_check;
     }
 
     // Takes out one object whose time to look has come; null when there is none.
     with_deadline* take_due(monotonic_time now)
     {
-        if (this->order.empty() || this->order.begin()->next_look > now) {
+        if (this->order.empty() || this->order.begin()->next_check > now) {
             return nullptr;
         }
         with_deadline& first = *this->order.begin();
--- a/adapters/src/event_loop.cpp
+++ b/adapters/src/event_loop.cpp
@@ -17,7 +17,7 @@
 
 // Looks that tell of as many ready sockets as one look can, before what they leave out is no longer
 // waited for. Enough for all sockets that a process may have.
-constexpr std::size_t most_full_looks = 32;
+constexpr std::size_t max_consecutive_full_polls = 32;
 
 } // namespace
 
@@ -29,7 +29,7 @@
     void run_posted();
     void run_timers();
     void run_sockets();
-    void note_look(decision::instant looked_at);
+    void record_poll(decision::instant poll_started);
     [[nodiscard]] std::optional<std::chrono::nanoseconds>
     time_to_next_timer(decision::instant now) const;
 
@@ -42,10 +42,11 @@
     timer_number last_timer = 0;
     decision::instant clock = read_clock();
     decision::instant polled_until{}; // before the first look nothing has been heard
-    std::size_t full_looks = 0;       // in a row, after which more sockets may have been ready
-    std::string_view work;            // of the callback that is being run
-    decision::duration least_pause{};
-    std::function<void(const loop_pause&)> tell_pause;
+    std::size_t consecutive_full_polls =
+        0;                 // in a row, after which more sockets may have been ready
+    std::string_view work; // of the callback that is being run
+    decision::duration min_pause{};
+    std::function<void(const loop_pause&)> on_pause;
     std::atomic<bool> stopping{false};
     std::mutex posted_guard;
     std::vector<std::function<void()>> posted;
@@ -69,8 +70,8 @@
     const auto ended = read_clock();
     const auto took = ended - this->clock;
     this->clock = ended;
-    if (this->tell_pause && took >= this->least_pause) {
-        this->tell_pause({took, this->work});
+    if (this->on_pause && took >= this->min_pause) {
+        this->on_pause({took, this->work});
     }
 }
 
@@ -78,7 +79,7 @@
 {
     std::vector<std::function<void()>> tasks;
     {
-        const std::lock_guard<std::mutex> hold(this->posted_guard);
+        const std::lock_guard<std::mutex> lock(this->posted_guard);
         tasks.swap(this->posted);
     }
     for (const auto& task : tasks) {
@@ -110,8 +111,8 @@
 {
     // Whatever came before the look began is in it. The moment after it says less: the process may
     // have been halted in between.
-    const auto looked_at = read_clock();
-    const auto& ready = this->sockets.wait(this->time_to_next_timer(looked_at));
+    const auto poll_started = read_clock();
+    const auto& ready = this->sockets.wait(this->time_to_next_timer(poll_started));
     this->clock = read_clock();
     this->forgotten.clear();
     for (const auto& socket : ready) {
@@ -122,17 +123,18 @@
             });
         }
     }
-    this->note_look(looked_at);
+    this->record_poll(poll_started);
 }
 
 // The system tells of the ready sockets in turn, a bounded number at once. Sockets that are ready
 // all the time must not keep timers from running for ever.
-void event_loop::state::note_look(decision::instant looked_at)
+void event_loop::state::record_poll(decision::instant poll_started)
 {
-    const bool may_lack_some = this->sockets.was_full() && this->full_looks < most_full_looks;
-    this->full_looks = may_lack_some ? this->full_looks + 1 : 0;
-    if (!may_lack_some) {
-        this->polled_until = looked_at;
+    const bool may_be_incomplete =
+        this->sockets.was_full() && this->consecutive_full_polls < max_consecutive_full_polls;
+    this->consecutive_full_polls = may_be_incomplete ? this->consecutive_full_polls + 1 : 0;
+    if (!may_be_incomplete) {
+        this->polled_until = poll_started;
     }
 }
 
@@ -200,16 +202,17 @@
 void event_loop::post(std::function<void()> task)
 {
     {
-        const std::lock_guard<std::mutex> hold(this->inner->posted_guard);
+        const std::lock_guard<std::mutex> lock(this->inner->posted_guard);
         this->inner->posted.push_back(std::move(task));
     }
     this->inner->sockets.wake();
 }
 
-void event_loop::watch_pauses(decision::duration least, std::function<void(const loop_pause&)> told)
+void event_loop::watch_pauses(decision::duration min_pause,
+                              std::function<void(const loop_pause&)> on_pause)
 {
-    this->inner->least_pause = least;
-    this->inner->tell_pause = std::move(told);
+    this->inner->min_pause = min_pause;
+    this->inner->on_pause = std::move(on_pause);
 }
 
 void event_loop::set_work_name(std::string_view what)
--- a/adapters/src/http_client.cpp
+++ b/adapters/src/http_client.cpp
@@ -56,25 +56,25 @@
     [[nodiscard]] bool submit(command& item);
     void run();
     [[nodiscard]] std::optional<std::chrono::nanoseconds> next_wait() const;
-    void take_commands();
+    void process_commands();
     void begin(command& item);
-    void resume_now(exchange_number exchange);
-    void serve(const std::vector<ready_socket>& sockets);
-    void serve_timer();
+    void resume_exchange(exchange_number exchange);
+    void process_events(const std::vector<ready_socket>& sockets);
+    void process_curl_timer();
     void collect_finished();
-    void end_overdue();
+    void end_expired();
     void finish(http_exchange& exchange, http_error error);
     curl_easy take_handle();
-    void keep_handle(curl_easy handle);
+    void recycle_handle(curl_easy handle);
 
     const http_client_settings settings;
-    poller ready;
+    poller socket_poller;
     std::unique_ptr<CURLM, curl_multi_deleter> multi;
     std::optional<monotonic_time> curl_timer;
     deadline_index deadlines;
     std::unordered_map<exchange_number, std::unique_ptr<http_exchange>> exchanges;
     std::vector<curl_easy> spare_handles;
-    std::vector<command> taken;
+    std::vector<command> taken_commands;
 
     std::atomic<exchange_number> last_number{0};
     std::mutex mutex; // guards the two below
@@ -134,7 +134,7 @@
         this->commands.push_back(std::move(item));
     }
     if (first) {
-        this->ready.wake();
+        this->socket_poller.wake();
     }
     return true;
 }
@@ -146,7 +146,7 @@
         const std::lock_guard guard(this->mutex);
         this->stopping = true;
     }
-    this->ready.wake();
+    this->socket_poller.wake();
     if (this->worker.joinable()) {
         this->worker.join();
     }
@@ -156,16 +156,16 @@
 {
     bool stopped = false;
     while (!stopped) {
-        this->serve(this->ready.wait(this->next_wait()));
+        this->process_events(this->socket_poller.wait(this->next_wait()));
         {
             const std::lock_guard guard(this->mutex);
-            this->taken.swap(this->commands);
+            this->taken_commands.swap(this->commands);
             stopped = this->stopping;
         }
-        this->take_commands();
-        this->serve_timer();
+        this->process_commands();
+        this->process_curl_timer();
         this->collect_finished();
-        this->end_overdue();
+        this->end_expired();
     }
     while (!this->exchanges.empty()) {
         this->finish(*this->exchanges.begin()->second, http_error::client_stopped);
@@ -186,19 +186,19 @@
     return *earliest - std::chrono::steady_clock::now();
 }
 
-void curl_http_client::take_commands()
+void curl_http_client::process_commands()
 {
-    for (command& item : this->taken) {
+    for (command& item : this->taken_commands) {
         const auto found = this->exchanges.find(item.exchange);
         if (item.kind == command_kind::start) {
             this->begin(item);
         } else if (found != this->exchanges.end() && item.kind == command_kind::cancel) {
             this->finish(*found->second, http_error::cancelled);
         } else if (found != this->exchanges.end()) {
-            this->resume_now(item.exchange);
+            this->resume_exchange(item.exchange);
         }
     }
-    this->taken.clear();
+    this->taken_commands.clear();
 }
 
 void curl_http_client::begin(command& item)
@@ -223,7 +223,7 @@
     }
 }
 
-void curl_http_client::resume_now(exchange_number exchange)
+void curl_http_client::resume_exchange(exchange_number exchange)
 {
     http_exchange& paused = *this->exchanges.at(exchange);
     if (!paused.resume()) {
@@ -231,7 +231,7 @@
     }
 }
 
-void curl_http_client::serve(const std::vector<ready_socket>& sockets)
+void curl_http_client::process_events(const std::vector<ready_socket>& sockets)
 {
     for (const ready_socket& item : sockets) {
         const int events = (item.readable ? CURL_CSELECT_IN : 0) |
@@ -242,7 +242,7 @@
     }
 }
 
-void curl_http_client::serve_timer()
+void curl_http_client::process_curl_timer()
 {
     if (!this->curl_timer || *this->curl_timer > std::chrono::steady_clock::now()) {
         return;
@@ -263,18 +263,18 @@
         void* context = nullptr;
         curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &context);
         auto& exchange = *static_cast<http_exchange*>(context);
-        this->finish(exchange, exchange.turn(code));
+        this->finish(exchange, exchange.to_http_error(code));
     }
 }
 
-void curl_http_client::end_overdue()
+void curl_http_client::end_expired()
 {
     const monotonic_time now = std::chrono::steady_clock::now();
     while (with_deadline* const due = this->deadlines.take_due(now)) {
         auto& exchange = static_cast<http_exchange&>(*due);
         const auto limit = exchange.deadline();
         if (limit && *limit <= now) {
-            this->finish(exchange, exchange.overdue(now));
+            this->finish(exchange, exchange.timeout_error(now));
         } else if (limit) {
             this->deadlines.arm(exchange, *limit);
         }
@@ -289,7 +289,7 @@
     this->deadlines.disarm(exchange);
     if (exchange.handle() != nullptr) {
         curl_multi_remove_handle(this->multi.get(), exchange.handle());
-        this->keep_handle(exchange.release_handle());
+        this->recycle_handle(exchange.release_handle());
     }
     exchange.end(error);
 }
@@ -304,7 +304,7 @@
     return handle;
 }
 
-void curl_http_client::keep_handle(curl_easy handle)
+void curl_http_client::recycle_handle(curl_easy handle)
 {
     constexpr std::size_t max_spare_handles = 256;
     if (this->spare_handles.size() < max_spare_handles) {
@@ -318,12 +318,12 @@
 {
     const auto& client = *static_cast<curl_http_client*>(self);
     if (what == CURL_POLL_REMOVE) {
-        client.ready.forget(socket);
+        client.socket_poller.forget(socket);
         return 0;
     }
     const bool readable = what == CURL_POLL_IN || what == CURL_POLL_INOUT;
     const bool writable = what == CURL_POLL_OUT || what == CURL_POLL_INOUT;
-    return client.ready.watch(socket, readable, writable) ? 0 : -1;
+    return client.socket_poller.watch(socket, readable, writable) ? 0 : -1;
 }
 
 int curl_http_client::on_timer(CURLM* /*multi*/, long wait_ms, void* self)
--- a/adapters/src/http_exchange.cpp
+++ b/adapters/src/http_exchange.cpp
@@ -202,7 +202,7 @@
     return earliest;
 }
 
-http_error http_exchange::overdue(monotonic_time now) const
+http_error http_exchange::timeout_error(monotonic_time now) const
 {
     const auto total = this->request.total_timeout;
     if (total.count() > 0 && this->started + total <= now) {
@@ -229,21 +229,21 @@
     return curl_easy_pause(this->easy.get(), CURLPAUSE_CONT) == CURLE_OK;
 }
 
-http_error http_exchange::turn(CURLcode code) const
+http_error http_exchange::to_http_error(CURLcode code) const
 {
     switch (code) {
     case CURLE_OK:
         return http_error::none;
     case CURLE_URL_MALFORMAT:
     case CURLE_UNSUPPORTED_PROTOCOL:
-        return this->sendings == 0 ? http_error::invalid_request : http_error::malformed_answer;
+        return this->send_count == 0 ? http_error::invalid_request : http_error::malformed_answer;
     case CURLE_WEIRD_SERVER_REPLY:
     case CURLE_BAD_CONTENT_ENCODING:
         return http_error::malformed_answer;
     case CURLE_WRITE_ERROR:
         return this->too_large ? http_error::malformed_answer : http_error::connection_lost;
     default:
-        return this->sendings == 0 ? http_error::connect_failed : http_error::connection_lost;
+        return this->send_count == 0 ? http_error::connect_failed : http_error::connection_lost;
     }
 }
 
@@ -254,7 +254,7 @@
         result.error = error;
     }
     result.status = this->status;
-    result.request_sent = this->sendings > 0;
+    result.request_sent = this->send_count > 0;
     this->listener->on_end(result);
 }
 
@@ -275,10 +275,10 @@
                               int /*local_port*/)
 {
     auto& exchange = *static_cast<http_exchange*>(self);
-    if (exchange.sendings > 0 && !exchange.request.may_resend) {
+    if (exchange.send_count > 0 && !exchange.request.may_resend) {
         return CURL_PREREQFUNC_ABORT;
     }
-    ++exchange.sendings;
+    ++exchange.send_count;
     exchange.enter(phase::awaiting_head);
     return CURL_PREREQFUNC_OK;
 }
@@ -288,10 +288,10 @@
 {
     const std::size_t length = size * count;
     auto& exchange = *static_cast<http_exchange*>(self);
-    return exchange.take_header_line({data, length}) ? length : 0;
+    return exchange.process_header_line({data, length}) ? length : 0;
 }
 
-bool http_exchange::take_header_line(std::string_view line)
+bool http_exchange::process_header_line(std::string_view line)
 {
     if (this->head_finished) {
         return true; // trailer fields of a chunked answer
@@ -312,12 +312,12 @@
         this->status = static_cast<int>(code);
         this->answer_headers.clear();
     } else {
-        this->take_field(line);
+        this->add_field(line);
     }
     return true;
 }
 
-void http_exchange::take_field(std::string_view line)
+void http_exchange::add_field(std::string_view line)
 {
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || colon == 0) {
--- a/adapters/src/http_exchange.hpp
+++ b/adapters/src/http_exchange.hpp
@@ -39,13 +39,13 @@
     [[nodiscard]] std::optional<monotonic_time> deadline() const;
 
     // The error that a passed deadline means.
-    [[nodiscard]] http_error overdue(monotonic_time now) const;
+    [[nodiscard]] http_error timeout_error(monotonic_time now) const;
 
     // Lets a paused body flow again. False when libcurl refuses: the exchange is lost.
     [[nodiscard]] bool resume();
 
     // What libcurl's outcome means to the caller.
-    [[nodiscard]] http_error turn(CURLcode code) const;
+    [[nodiscard]] http_error to_http_error(CURLcode code) const;
 
     // The listener's last call.
     void end(http_error error);
@@ -63,8 +63,8 @@
     void set_connection(const http_client_settings& settings);
     void set_callbacks();
     void enter(phase next);
-    [[nodiscard]] bool take_header_line(std::string_view line);
-    void take_field(std::string_view line);
+    [[nodiscard]] bool process_header_line(std::string_view line);
+    void add_field(std::string_view line);
     void finish_head();
 
     template <class Value>
@@ -85,7 +85,7 @@
     phase current = phase::connecting;
     monotonic_time started;
     monotonic_time last_progress;
-    unsigned sendings = 0;
+    unsigned send_count = 0;
     bool paused = false;
     bool head_finished = false;
     bool too_large = false;
--- a/adapters/src/http_inbound.cpp
+++ b/adapters/src/http_inbound.cpp
@@ -13,15 +13,17 @@
 // Time between two looks for connections that have used up their time. It adds to each limit.
 constexpr decision::duration check_period = std::chrono::milliseconds(250);
 
-class inbound_server final : public http_inbound, public inbound_host, public socket_listener {
+class inbound_server final : public http_inbound,
+                             public inbound_socket_owner,
+                             public socket_listener {
 public:
     inbound_server(event_loop& runs_on, const std::string& address, std::uint16_t port,
-                   std::size_t most, inbound_listener& told)
-        : events(runs_on), requests(told), max_connections(most),
+                   std::size_t connection_limit, inbound_listener& new_listener)
+        : events(runs_on), requests(new_listener), max_connections(connection_limit),
           acceptor(tcp_socket::listen(address, port))
     {
         this->events.watch(this->acceptor.get(), *this, true, false);
-        this->check_later();
+        this->schedule_check();
     }
 
     ~inbound_server() override
@@ -54,13 +56,13 @@
     void on_refused_head() override { ++this->counted.refused_heads; }
     void on_unacknowledged() override;
     void on_closed_as_idle() override { ++this->counted.closed_as_idle; }
-    void on_sent_to_closed(decision::duration closed, decision::duration rested) override;
-    [[nodiscard]] timer_number give_turn(inbound_socket& connection) override;
+    void on_sent_to_closed(decision::duration closed, decision::duration idle_duration) override;
+    [[nodiscard]] timer_number schedule_deferred_work(inbound_socket& connection) override;
     void on_ready(bool readable, bool writable, bool failed) override;
 
 private:
     void drop(const inbound_socket& connection);
-    void check_later();
+    void schedule_check();
     template <typename Function>
     void for_each(Function&& act);
 
@@ -90,10 +92,10 @@
     this->events.watch(this->acceptor.get(), *this, false, false);
 }
 
-timer_number inbound_server::give_turn(inbound_socket& connection)
+timer_number inbound_server::schedule_deferred_work(inbound_socket& connection)
 {
     return this->events.soon([this, &connection] {
-        if (connection.take_turn()) {
+        if (connection.run_deferred_work()) {
             this->drop(connection);
         }
     });
@@ -105,11 +107,11 @@
     log_warning("caller_unreachable", {{"cause", "what was sent is not acknowledged"}});
 }
 
-void inbound_server::on_sent_to_closed(decision::duration closed, decision::duration rested)
+void inbound_server::on_sent_to_closed(decision::duration closed, decision::duration idle_duration)
 {
     ++this->counted.sent_to_closed;
     log_warning("sent_to_closed",
-                {{"closed_ms", milliseconds(closed)}, {"rested_ms", milliseconds(rested)}});
+                {{"closed_ms", milliseconds(closed)}, {"rested_ms", milliseconds(idle_duration)}});
 }
 
 // Called by the loop alone, when none of the connection's own functions is under way.
@@ -128,12 +130,12 @@
     }
 }
 
-void inbound_server::check_later()
+void inbound_server::schedule_check()
 {
     this->check = this->events.after(check_period, [this] {
         const auto until = this->events.polled_until();
         this->for_each([until](inbound_socket& connection) { connection.check_time(until); });
-        this->check_later();
+        this->schedule_check();
     });
 }
 
--- a/adapters/src/http_message.cpp
+++ b/adapters/src/http_message.cpp
@@ -30,7 +30,7 @@
 }
 
 // Whether a comma-separated list holds the word.
-bool lists(std::string_view list, std::string_view word)
+bool list_contains(std::string_view list, std::string_view word)
 {
     while (!list.empty()) {
         const auto comma = list.find(',');
@@ -152,13 +152,13 @@
     const bool known = std::any_of(names.begin(), names.end(), [name](std::string_view one) {
         return same_field_name(one, name);
     });
-    return known || lists(connection, name);
+    return known || list_contains(connection, name);
 }
 
 namespace {
 
 // Whether an answer's head gives its body no end, so that only the close of the connection ends it.
-bool has_open_end(const http_parser& parser)
+bool has_body_until_close(const http_parser& parser)
 {
     constexpr unsigned status_no_content = 204;
     constexpr unsigned status_not_modified = 304;
@@ -182,7 +182,7 @@
 
     std::size_t feed(std::string_view bytes);
     void feed_end();
-    void fail(framing_fault why) { this->found = why; }
+    void fail(framing_fault why) { this->framing_error = why; }
 
     http_reader_kind kind;
     http_message_listener& listener;
@@ -191,9 +191,9 @@
     std::string head; // bytes of a head that is not whole yet
     bool in_head = true;
     bool in_body = false;
-    bool ended = false;    // the message that was fed last is whole
-    bool open_end = false; // the message under way ends with its connection
-    framing_fault found = framing_fault::none;
+    bool ended = false;            // the message that was fed last is whole
+    bool body_until_close = false; // the message under way ends with its connection
+    framing_fault framing_error = framing_fault::none;
     std::string target;
     http_fields fields;
     bool value_began = false;
@@ -257,8 +257,8 @@
     }
     http_response_head head;
     head.status = static_cast<int>(parser->status_code);
-    head.ends_with_connection = has_open_end(*parser);
-    self.open_end = head.ends_with_connection;
+    head.ends_with_connection = has_body_until_close(*parser);
+    self.body_until_close = head.ends_with_connection;
     head.keep_alive = keep_alive && !head.ends_with_connection;
     head.fields = std::move(fields);
     return self.listener.on_response(std::move(head)) ? skip_body : 0;
@@ -331,11 +331,11 @@
     }
     this->head.resize(end + head_end.size());
     const std::size_t taken = this->head.size() - before;
-    const std::string whole = std::exchange(this->head, {});
-    if (!is_strict_head(whole, this->kind)) {
+    const std::string complete_head = std::exchange(this->head, {});
+    if (!is_strict_head(complete_head, this->kind)) {
         this->fail(framing_fault::malformed);
     } else {
-        this->execute(whole);
+        this->execute(complete_head);
     }
     return taken;
 }
@@ -344,7 +344,7 @@
 {
     std::size_t taken = 0;
     this->ended = false;
-    while (taken < bytes.size() && !this->ended && this->found == framing_fault::none) {
+    while (taken < bytes.size() && !this->ended && this->framing_error == framing_fault::none) {
         const auto rest = bytes.substr(taken);
         taken += this->in_head ? this->feed_head(rest) : this->execute(rest);
     }
@@ -353,17 +353,17 @@
 
 void http_reader::state::feed_end()
 {
-    if (this->found != framing_fault::none) {
+    if (this->framing_error != framing_fault::none) {
         return;
     }
     if (this->in_head) {
         if (!this->head.empty()) {
-            this->fail(framing_fault::too_early);
+            this->fail(framing_fault::truncated);
         }
         return;
     }
-    if (!this->open_end) {
-        this->fail(framing_fault::too_early);
+    if (!this->body_until_close) {
+        this->fail(framing_fault::truncated);
         return;
     }
     http_parser_execute(&this->parser, &callbacks(), "", 0);
@@ -393,7 +393,7 @@
 
 framing_fault http_reader::fault() const
 {
-    return this->inner->found;
+    return this->inner->framing_error;
 }
 
 bool http_reader::inside_message() const
--- a/adapters/src/http_outbound.cpp
+++ b/adapters/src/http_outbound.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-class outbound_client final : public http_outbound, public outbound_host {
+class outbound_client final : public http_outbound, public outbound_socket_owner {
 public:
     outbound_client(event_loop& runs_on, const http_outbound_settings& settings)
-        : events(runs_on), chosen(settings)
+        : events(runs_on), configured(settings)
     {}
 
     ~outbound_client() override { this->events.cancel(this->sweep); }
@@ -34,17 +34,20 @@
     }
 
     [[nodiscard]] event_loop& loop() override { return this->events; }
-    [[nodiscard]] const http_outbound_settings& settings() const override { return this->chosen; }
+    [[nodiscard]] const http_outbound_settings& settings() const override
+    {
+        return this->configured;
+    }
     void on_connected(bool connected) override
     {
         ++(connected ? this->counted.connected : this->counted.failed);
     }
-    void on_exchange_over(outbound_number exchange) override { this->exchanges.erase(exchange); }
+    void on_exchange_end(outbound_number exchange) override { this->exchanges.erase(exchange); }
     void on_idle(outbound_socket& connection, decision::instant idle_until) override;
     void on_closed(outbound_socket& connection) override;
 
 private:
-    struct resting {
+    struct idle_connection {
         std::uint64_t connection = 0;
         decision::instant until;
     };
@@ -54,13 +57,13 @@
     void destroy_closed();
 
     event_loop& events;
-    http_outbound_settings chosen;
+    http_outbound_settings configured;
     outbound_counts counted;
     std::uint64_t last_connection = 0;
     outbound_number last_exchange = 0;
     std::unordered_map<std::uint64_t, std::unique_ptr<outbound_socket>> connections;
     std::unordered_map<outbound_number, std::uint64_t> exchanges;
-    std::unordered_map<std::string, std::deque<resting>> idle;
+    std::unordered_map<std::string, std::deque<idle_connection>> idle;
     std::vector<std::unique_ptr<outbound_socket>> closed; // to be destroyed by `sweep`
     timer_number sweep = 0;
 };
@@ -75,15 +78,15 @@
         ++this->counted.reused;
     }
     const auto number = ++this->last_exchange;
-    this->exchanges.emplace(number, connection->name());
+    this->exchanges.emplace(number, connection->id());
     connection->start(number, request, std::move(listener));
     return number;
 }
 
 outbound_socket& outbound_client::open(const outbound_target& target)
 {
-    const auto name = ++this->last_connection;
-    return *this->connections.emplace(name, std::make_unique<outbound_socket>(*this, name, target))
+    const auto id = ++this->last_connection;
+    return *this->connections.emplace(id, std::make_unique<outbound_socket>(*this, id, target))
                 .first->second;
 }
 
@@ -114,9 +117,9 @@
 void outbound_client::on_idle(outbound_socket& connection, decision::instant idle_until)
 {
     auto& pool = this->idle[connection.target().pool];
-    pool.push_back({connection.name(), idle_until});
-    while (!pool.empty() &&
-           (pool.size() > this->chosen.idle_per_pool || pool.front().until <= this->events.now())) {
+    pool.push_back({connection.id(), idle_until});
+    while (!pool.empty() && (pool.size() > this->configured.idle_per_pool ||
+                             pool.front().until <= this->events.now())) {
         const auto oldest = pool.front();
         pool.pop_front();
         const auto known = this->connections.find(oldest.connection);
@@ -129,7 +132,7 @@
 void outbound_client::on_closed(outbound_socket& connection)
 {
     this->exchanges.erase(connection.exchange());
-    const auto found = this->connections.find(connection.name());
+    const auto found = this->connections.find(connection.id());
     if (found == this->connections.end()) {
         return;
     }
@@ -174,9 +177,9 @@
     if (found == this->idle.end()) {
         return;
     }
-    const auto resting_there = std::move(found->second);
+    const auto pool_connections = std::move(found->second);
     this->idle.erase(found);
-    for (const auto& one : resting_there) {
+    for (const auto& one : pool_connections) {
         const auto known = this->connections.find(one.connection);
         if (known != this->connections.end() && known->second->exchange() == 0) {
             known->second->cancel();
@@ -184,24 +187,24 @@
     }
 }
 
-class answer_gatherer final : public outbound_listener {
+class answer_collector final : public outbound_listener {
 public:
-    answer_gatherer(std::size_t most, std::function<void(const collected_answer&)> told)
-        : max_body(most), done(std::move(told))
+    answer_collector(std::size_t limit, std::function<void(const collected_answer&)> callback)
+        : max_body(limit), done(std::move(callback))
     {}
 
     head_verdict on_head(const http_response_head& head) override
     {
-        this->gathered.status = head.status;
-        this->gathered.fields = head.fields;
-        return head_verdict::take;
+        this->collected.status = head.status;
+        this->collected.fields = head.fields;
+        return head_verdict::process_bytes;
     }
 
     void on_body(std::string_view piece) override
     {
-        this->too_long = this->too_long || this->gathered.body.size() + piece.size() > max_body;
+        this->too_long = this->too_long || this->collected.body.size() + piece.size() > max_body;
         if (!this->too_long) {
-            this->gathered.body.append(piece);
+            this->collected.body.append(piece);
         }
     }
 
@@ -211,7 +214,7 @@
             this->on_failure({outbound_fault::malformed, true, false});
             return;
         }
-        this->done(this->gathered);
+        this->done(this->collected);
     }
 
     void on_failure(const outbound_failure& how) override
@@ -224,7 +227,7 @@
 private:
     std::size_t max_body;
     std::function<void(const collected_answer&)> done;
-    collected_answer gathered;
+    collected_answer collected;
     bool too_long = false;
 };
 
@@ -239,7 +242,7 @@
 outbound_listener_ptr collect_answer(std::size_t max_body,
                                      std::function<void(const collected_answer&)> done)
 {
-    return new answer_gatherer(max_body, std::move(done));
+    return new answer_collector(max_body, std::move(done));
 }
 
 } // namespace pearhaven::adapters
--- a/adapters/src/inbound_socket.cpp
+++ b/adapters/src/inbound_socket.cpp
@@ -12,18 +12,18 @@
 constexpr std::size_t read_size = 16U << 10U;
 
 // Bytes of later requests that are kept while one is under way; beyond it they wait in the socket.
-constexpr std::size_t most_kept = 64U << 10U;
+constexpr std::size_t max_pipelined_bytes = 64U << 10U;
 
 // How long a connection that this end has closed goes on reading. A close with unread bytes resets
 // the connection, and the reset can overtake the last answer.
-constexpr decision::duration linger_bound = std::chrono::seconds(1);
+constexpr decision::duration linger_timeout = std::chrono::seconds(1);
 
 // How long a new connection is not idle, though nothing has come on it yet: the first request is
 // under way for a round trip, which between regions takes tens of milliseconds.
-constexpr decision::duration first_request_time = std::chrono::milliseconds(250);
+constexpr decision::duration first_request_grace = std::chrono::milliseconds(250);
 
 // Longest time that a caller's host may leave sent bytes unacknowledged.
-constexpr std::chrono::milliseconds unacknowledged_bound{5000};
+constexpr std::chrono::milliseconds unacknowledged_timeout{5000};
 
 constexpr int status_bad_request = 400;
 constexpr int status_timeout = 408;
@@ -91,12 +91,12 @@
     return this->connection == nullptr ? 0 : this->connection->unsent();
 }
 
-inbound_socket::inbound_socket(inbound_host& server, tcp_socket accepted)
-    : host(server), socket(std::move(accepted)),
+inbound_socket::inbound_socket(inbound_socket_owner& server, tcp_socket accepted)
+    : owner(server), socket(std::move(accepted)),
       reader(http_reader_kind::requests, *this, server.limits().head_bytes),
-      since(server.loop().now()), idle_time(server.limits().idle_time)
+      wait_started(server.loop().now()), idle_time(server.limits().idle_time)
 {
-    this->socket.get().set_options(unacknowledged_bound);
+    this->socket.get().set_options(unacknowledged_timeout);
     this->watch();
 }
 
@@ -105,34 +105,34 @@
     if (this->exchange) {
         this->exchange->detach();
     }
-    this->host.loop().cancel(this->turn);
-    this->host.loop().forget(this->number());
+    this->owner.loop().cancel(this->deferred_work);
+    this->owner.loop().forget(this->number());
 }
 
 void inbound_socket::watch()
 {
-    const bool reads = this->kept.size() < most_kept;
-    this->host.loop().watch(this->number(), *this, reads, this->socket.unsent() > 0);
+    const bool reads = this->pipelined.size() < max_pipelined_bytes;
+    this->owner.loop().watch(this->number(), *this, reads, this->socket.unsent() > 0);
 }
 
 void inbound_socket::on_ready(bool readable, bool writable, bool failed)
 {
-    if (writable && this->step != phase::closed) {
-        const bool waited = this->socket.unsent() > 0;
+    if (writable && this->current_phase != phase::closed) {
+        const bool had_unsent = this->socket.unsent() > 0;
         if (!this->socket.flush()) {
             this->close(true);
             return;
         }
-        if (waited && this->socket.unsent() == 0) {
+        if (had_unsent && this->socket.unsent() == 0) {
             this->watch();
-            if (this->step == phase::lingering) {
+            if (this->current_phase == phase::lingering) {
                 ::shutdown(this->number(), SHUT_WR);
-            } else if (const auto told = this->exchange) {
-                this->host.listener().on_flushed(*told);
+            } else if (const auto flushed = this->exchange) {
+                this->owner.listener().on_flushed(*flushed);
             }
         }
     }
-    if ((readable || failed) && this->step != phase::closed) {
+    if ((readable || failed) && this->current_phase != phase::closed) {
         this->read_more();
     }
 }
@@ -146,28 +146,29 @@
     }
     if (transfer.outcome == tcp_outcome::closed || transfer.bytes == 0) {
         if (transfer.error == ETIMEDOUT) {
-            this->host.on_unacknowledged();
+            this->owner.on_unacknowledged();
         }
         this->close(true);
         return;
     }
-    if (this->step == phase::reading) {
-        this->take({bytes.data(), transfer.bytes});
-    } else if (this->step == phase::answering) {
-        this->kept.append(bytes.data(), transfer.bytes);
-        if (this->kept.size() >= most_kept) {
+    if (this->current_phase == phase::reading) {
+        this->process_bytes({bytes.data(), transfer.bytes});
+    } else if (this->current_phase == phase::answering) {
+        this->pipelined.append(bytes.data(), transfer.bytes);
+        if (this->pipelined.size() >= max_pipelined_bytes) {
             this->watch();
         }
-    } else if (this->step == phase::lingering) {
-        this->note_sent_to_closed();
+    } else if (this->current_phase == phase::lingering) {
+        this->record_bytes_after_close();
     }
 }
 
 // Of a request that is lost so its caller knows nothing, and this end nothing but these bytes.
-void inbound_socket::note_sent_to_closed()
+void inbound_socket::record_bytes_after_close()
 {
     if (std::exchange(this->closed_as_idle, false)) {
-        this->host.on_sent_to_closed(this->host.loop().now() - this->since, this->rested);
+        this->owner.on_sent_to_closed(this->owner.loop().now() - this->wait_started,
+                                      this->idle_duration);
     }
 }
 
@@ -175,39 +176,39 @@
 // began to send it would else be refused in the middle of it.
 void inbound_socket::begin_message()
 {
-    this->since = this->host.loop().now();
-    this->begun = this->host.limits();
-    this->reader.set_max_head(this->begun.head_bytes);
+    this->wait_started = this->owner.loop().now();
+    this->message_limits = this->owner.limits();
+    this->reader.set_max_head(this->message_limits.head_bytes);
 }
 
-void inbound_socket::take(std::string_view bytes)
+void inbound_socket::process_bytes(std::string_view bytes)
 {
     if (!this->reader.inside_message()) {
         this->begin_message();
     }
-    this->running = true;
-    while (!bytes.empty() && this->step == phase::reading) {
+    this->processing = true;
+    while (!bytes.empty() && this->current_phase == phase::reading) {
         bytes.remove_prefix(this->reader.feed(bytes));
         const auto fault = this->reader.fault();
         if (fault != framing_fault::none) {
-            this->host.on_refused_head();
+            this->owner.on_refused_head();
             this->refuse(fault == framing_fault::head_too_long ? status_head_too_large
                                                                : status_bad_request);
         }
     }
-    this->running = false;
-    if (this->step == phase::answering) {
-        this->kept.append(bytes);
+    this->processing = false;
+    if (this->current_phase == phase::answering) {
+        this->pipelined.append(bytes);
     }
 }
 
-void inbound_socket::take_kept()
+void inbound_socket::process_pipelined()
 {
-    if (!this->kept.empty() && this->step == phase::reading) {
-        const bool was_full = this->kept.size() >= most_kept;
-        const std::string bytes = std::exchange(this->kept, {});
-        this->take(bytes);
-        if (was_full && this->step != phase::closed) {
+    if (!this->pipelined.empty() && this->current_phase == phase::reading) {
+        const bool was_full = this->pipelined.size() >= max_pipelined_bytes;
+        const std::string bytes = std::exchange(this->pipelined, {});
+        this->process_bytes(bytes);
+        if (was_full && this->current_phase != phase::closed) {
             this->watch();
         }
     }
@@ -219,7 +220,7 @@
     if (expected != nullptr && same_field_name(*expected, "100-continue")) {
         this->send("HTTP/1.1 100 Continue\r\n\r\n");
     }
-    this->exchange = new connection_exchange(*this, std::move(head), this->host.loop().now());
+    this->exchange = new connection_exchange(*this, std::move(head), this->owner.loop().now());
 }
 
 bool inbound_socket::on_response(http_response_head /*head*/)
@@ -229,10 +230,10 @@
 
 void inbound_socket::on_body(std::string_view piece)
 {
-    if (!this->exchange || this->step != phase::reading) {
+    if (!this->exchange || this->current_phase != phase::reading) {
         return;
     }
-    const auto bound = std::max(this->begun.body_bytes, this->host.limits().body_bytes);
+    const auto bound = std::max(this->message_limits.body_bytes, this->owner.limits().body_bytes);
     if (this->exchange->body().size() + piece.size() > bound) {
         this->refuse(status_too_large);
         return;
@@ -242,33 +243,33 @@
 
 void inbound_socket::on_message_end()
 {
-    if (this->step != phase::reading) {
+    if (this->current_phase != phase::reading) {
         return;
     }
-    this->step = phase::answering;
+    this->current_phase = phase::answering;
     this->has_served = true;
-    this->exchange->set_arrived(this->host.loop().now());
-    this->host.listener().on_request(this->exchange);
+    this->exchange->set_arrived(this->owner.loop().now());
+    this->owner.listener().on_request(this->exchange);
 }
 
 void inbound_socket::send(std::string_view bytes)
 {
-    if (this->step == phase::closed) {
+    if (this->current_phase == phase::closed) {
         return;
     }
-    const bool waited = this->socket.unsent() > 0;
+    const bool had_unsent = this->socket.unsent() > 0;
     if (!this->socket.write(bytes)) {
         this->close(true);
         return;
     }
-    if (!waited && this->socket.unsent() > 0) {
+    if (!had_unsent && this->socket.unsent() > 0) {
         this->watch();
     }
 }
 
 bool inbound_socket::closes_after_answer() const
 {
-    return this->host.is_closing() || (this->exchange && !this->exchange->head().keep_alive);
+    return this->owner.is_closing() || (this->exchange && !this->exchange->head().keep_alive);
 }
 
 // The exchange is the callers' alone from here on: it may be destroyed as soon as they drop it.
@@ -284,18 +285,18 @@
 {
     const bool closes = this->closes_after_answer();
     this->drop_exchange();
-    if (this->step != phase::answering) {
+    if (this->current_phase != phase::answering) {
         return;
     }
-    this->since = this->host.loop().now();
-    this->idle_time = this->host.limits().idle_time;
+    this->wait_started = this->owner.loop().now();
+    this->idle_time = this->owner.limits().idle_time;
     if (closes) {
         this->linger();
         return;
     }
-    this->step = phase::reading;
-    if (!this->running && !this->kept.empty()) {
-        this->ask_for_turn();
+    this->current_phase = phase::reading;
+    if (!this->processing && !this->pipelined.empty()) {
+        this->request_deferred_work();
     }
 }
 
@@ -304,15 +305,15 @@
 {
     this->drop_exchange();
     this->send(write_response_head(status, {{"Content-Length", "0"}, {"Connection", "close"}}));
-    if (this->step != phase::closed) {
+    if (this->current_phase != phase::closed) {
         this->linger();
     }
 }
 
 void inbound_socket::linger()
 {
-    this->step = phase::lingering;
-    this->since = this->host.loop().now();
+    this->current_phase = phase::lingering;
+    this->wait_started = this->owner.loop().now();
     if (this->socket.unsent() == 0) {
         ::shutdown(this->number(), SHUT_WR);
     }
@@ -321,8 +322,8 @@
 void inbound_socket::close_as_idle()
 {
     this->closed_as_idle = true;
-    this->rested = this->host.loop().now() - this->since;
-    this->host.on_closed_as_idle();
+    this->idle_duration = this->owner.loop().now() - this->wait_started;
+    this->owner.on_closed_as_idle();
     this->linger();
 }
 
@@ -335,45 +336,45 @@
 // Only marks the connection, of which nothing is read and on which nothing is sent from here on.
 // The listener may be in the middle of the call that met the loss, with the request in its hands:
 // told at once it would drop the request, and the call would go on with what it had dropped.
-void inbound_socket::close(bool caller_left)
+void inbound_socket::close(bool caller_disconnected)
 {
-    if (this->step == phase::closed) {
+    if (this->current_phase == phase::closed) {
         return;
     }
-    if (!caller_left || this->step != phase::answering) {
+    if (!caller_disconnected || this->current_phase != phase::answering) {
         this->drop_exchange();
     }
-    this->step = phase::closed;
-    this->ask_for_turn();
+    this->current_phase = phase::closed;
+    this->request_deferred_work();
 }
 
-void inbound_socket::ask_for_turn()
+void inbound_socket::request_deferred_work()
 {
-    if (this->turn == 0) {
-        this->turn = this->host.give_turn(*this);
+    if (this->deferred_work == 0) {
+        this->deferred_work = this->owner.schedule_deferred_work(*this);
     }
 }
 
-bool inbound_socket::take_turn()
+bool inbound_socket::run_deferred_work()
 {
-    this->turn = 0;
-    if (this->step == phase::closed) {
-        this->tell_loss();
+    this->deferred_work = 0;
+    if (this->current_phase == phase::closed) {
+        this->report_disconnect();
         return true;
     }
-    this->take_kept();
-    if (std::exchange(this->closes_if_idle, false)) {
-        this->end_idle_wait();
+    this->process_pipelined();
+    if (std::exchange(this->idle_close_pending, false)) {
+        this->close_if_still_idle();
     }
     return false;
 }
 
-void inbound_socket::tell_loss()
+void inbound_socket::report_disconnect()
 {
-    const auto left = std::move(this->exchange);
-    if (left) {
-        left->detach();
-        this->host.listener().on_caller_gone(*left);
+    const auto disconnected = std::move(this->exchange);
+    if (disconnected) {
+        disconnected->detach();
+        this->owner.listener().on_caller_gone(*disconnected);
     }
 }
 
@@ -382,26 +383,26 @@
 // idle, or refused as too slow, with the whole request in them. What was heard until then decides.
 void inbound_socket::check_time(decision::instant polled_until)
 {
-    const auto waited = polled_until - this->since;
-    if (this->step == phase::lingering && waited > linger_bound) {
+    const auto waited = polled_until - this->wait_started;
+    if (this->current_phase == phase::lingering && waited > linger_timeout) {
         this->close(false);
         return;
     }
-    if (this->step != phase::reading) {
+    if (this->current_phase != phase::reading) {
         return;
     }
     if (!this->reader.inside_message()) {
-        const auto& limits = this->host.limits();
+        const auto& limits = this->owner.limits();
         if (waited > std::max(this->idle_time, limits.idle_time) + limits.idle_slack) {
-            this->closes_if_idle = true;
-            this->ask_for_turn();
+            this->idle_close_pending = true;
+            this->request_deferred_work();
         }
         return;
     }
     // A head that comes byte by byte would hold its connection for ever. A body may be long: it
     // has the head's time for each megabyte or part of one.
     const auto parts = 1 + (this->exchange ? this->exchange->body().size() >> 20U : 0U);
-    const auto head_time = std::max(this->begun.head_time, this->host.limits().head_time);
+    const auto head_time = std::max(this->message_limits.head_time, this->owner.limits().head_time);
     if (waited > head_time * static_cast<int>(parts + 1)) {
         this->refuse(status_timeout);
     }
@@ -409,22 +410,23 @@
 
 bool inbound_socket::is_idle() const
 {
-    return this->step == phase::reading && !this->reader.inside_message() && this->kept.empty();
+    return this->current_phase == phase::reading && !this->reader.inside_message() &&
+           this->pipelined.empty();
 }
 
 void inbound_socket::close_if_idle()
 {
-    const bool has_just_come =
-        !this->has_served && this->host.loop().now() - this->since < first_request_time;
-    if (this->is_idle() && !has_just_come) {
-        this->closes_if_idle = true;
-        this->ask_for_turn();
+    const bool is_new =
+        !this->has_served && this->owner.loop().now() - this->wait_started < first_request_grace;
+    if (this->is_idle() && !is_new) {
+        this->idle_close_pending = true;
+        this->request_deferred_work();
     }
 }
 
 // A request that has come and was not read yet would be thrown away with the connection: its caller
 // would have no answer, though all of the request was taken.
-void inbound_socket::end_idle_wait()
+void inbound_socket::close_if_still_idle()
 {
     if (this->is_idle()) {
         this->read_more();
--- a/adapters/src/inbound_socket.hpp
+++ b/adapters/src/inbound_socket.hpp
@@ -10,9 +10,9 @@
 class inbound_socket;
 
 // What a connection needs of its server.
-class inbound_host {
+class inbound_socket_owner {
 public:
-    virtual ~inbound_host() = default;
+    virtual ~inbound_socket_owner() = default;
     [[nodiscard]] virtual event_loop& loop() = 0;
     [[nodiscard]] virtual inbound_listener& listener() = 0;
     [[nodiscard]] virtual const inbound_limits& limits() const = 0;
@@ -22,11 +22,11 @@
     virtual void on_closed_as_idle() = 0;
 
     // Bytes came on a connection that was closed as idle, so long ago, after so long a rest.
-    virtual void on_sent_to_closed(decision::duration closed, decision::duration rested) = 0;
+    virtual void on_sent_to_closed(decision::duration closed, decision::duration idle_duration) = 0;
 
     // Calls the connection's `take_turn` once the callback that is being run has returned, and then
     // destroys the connection if it is over.
-    [[nodiscard]] virtual timer_number give_turn(inbound_socket& connection) = 0;
+    [[nodiscard]] virtual timer_number schedule_deferred_work(inbound_socket& connection) = 0;
 };
 
 // A request with the way back to the connection that it came on.
@@ -61,7 +61,7 @@
 // connection is only marked, and pipelined bytes are only kept, until its turn comes.
 class inbound_socket final : public socket_listener, public http_message_listener {
 public:
-    inbound_socket(inbound_host& server, tcp_socket accepted);
+    inbound_socket(inbound_socket_owner& server, tcp_socket accepted);
     ~inbound_socket() override;
     inbound_socket(const inbound_socket&) = delete;
     inbound_socket& operator=(const inbound_socket&) = delete;
@@ -80,7 +80,7 @@
     [[nodiscard]] std::size_t unsent() const { return this->socket.unsent(); }
 
     // Carries out what calls have left to the loop. True when the connection is over.
-    [[nodiscard]] bool take_turn();
+    [[nodiscard]] bool run_deferred_work();
 
     // Ends what has taken longer than the limits allow. To be called now and then, with the time
     // up to which all that came has been told.
@@ -95,39 +95,39 @@
     enum class phase { reading, answering, lingering, closed };
 
     void read_more();
-    void take(std::string_view bytes);
-    void take_kept();
+    void process_bytes(std::string_view bytes);
+    void process_pipelined();
     void begin_message();
     void drop_exchange();
     void refuse(int status);
     void linger();
     void close_as_idle();
-    void note_sent_to_closed();
-    void close(bool caller_left);
-    void tell_loss();
-    void ask_for_turn();
-    void end_idle_wait();
+    void record_bytes_after_close();
+    void close(bool caller_disconnected);
+    void report_disconnect();
+    void request_deferred_work();
+    void close_if_still_idle();
     [[nodiscard]] bool is_idle() const;
     void watch();
 
-    inbound_host& host;
+    inbound_socket_owner& owner;
     buffered_socket socket;
     http_reader reader;
-    phase step = phase::reading;
-    bool running = false; // inside `take`, which goes on with the next request by itself
+    phase current_phase = phase::reading;
+    bool processing = false; // inside `take`, which goes on with the next request by itself
     bool has_served = false;
-    bool closes_if_idle = false; // at its turn
-    bool closed_as_idle = false; // and nothing has come since
-    timer_number turn = 0;
-    std::string kept; // bytes after the request under way
+    bool idle_close_pending = false; // at its turn
+    bool closed_as_idle = false;     // and nothing has come since
+    timer_number deferred_work = 0;
+    std::string pipelined; // bytes after the request under way
 
     // Under way. Of a closed connection: the one whose listener has yet to hear that the caller
     // left.
     boost::intrusive_ptr<connection_exchange> exchange;
-    decision::instant since;        // of the present wait
-    decision::duration rested{};    // until it was closed as idle
-    decision::duration idle_time{}; // as promised to the caller when the wait began
-    inbound_limits begun;           // those in force when the message under way began
+    decision::instant wait_started;     // of the present wait
+    decision::duration idle_duration{}; // until it was closed as idle
+    decision::duration idle_time{};     // as promised to the caller when the wait began
+    inbound_limits message_limits;      // those in force when the message under way began
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/src/line_buffer.cpp
+++ b/adapters/src/line_buffer.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // A second of lines on a busy router.
-constexpr std::size_t most_waiting = 256U << 10U;
+constexpr std::size_t max_waiting_bytes = 256U << 10U;
 
 std::string time_text()
 {
@@ -39,16 +39,16 @@
 
 void line_buffer::append(std::string_view level, std::string_view fields)
 {
-    if (this->waiting.size() + fields.size() > most_waiting) {
+    if (this->waiting.size() + fields.size() > max_waiting_bytes) {
         ++this->lost;
         return;
     }
     this->waiting.append(R"({"time":")").append(time_text());
     this->waiting.append(R"(","level":")").append(level);
     this->waiting.append(R"(","process":")").append(this->process).append("\",");
-    if (this->lost != this->lost_told) {
+    if (this->lost != this->reported_lost) {
         this->waiting.append(R"("lines_lost":)").append(std::to_string(this->lost)).append(",");
-        this->lost_told = this->lost;
+        this->reported_lost = this->lost;
     }
     this->waiting.append(fields).append("\n");
 }
--- a/adapters/src/line_buffer.hpp
+++ b/adapters/src/line_buffer.hpp
@@ -24,8 +24,8 @@
     int descriptor;
     std::string process;
     std::string waiting;
-    std::uint64_t lost = 0;      // since the start
-    std::uint64_t lost_told = 0; // of them, already told in a line
+    std::uint64_t lost = 0;          // since the start
+    std::uint64_t reported_lost = 0; // of them, already told in a line
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/src/outbound_socket.cpp
+++ b/adapters/src/outbound_socket.cpp
@@ -11,7 +11,7 @@
 constexpr int first_final_status = 200;
 
 // The whole seconds of `timeout=N` in a Keep-Alive field; zero where it names none.
-decision::duration named_timeout(const http_fields& fields)
+decision::duration announced_idle_timeout(const http_fields& fields)
 {
     const std::string* value = find_field(fields, "Keep-Alive");
     constexpr std::string_view key = "timeout=";
@@ -27,38 +27,39 @@
 
 } // namespace
 
-outbound_socket::outbound_socket(outbound_host& client, std::uint64_t name, outbound_target target)
-    : host(client), number(name), where(std::move(target)),
-      socket(tcp_socket::connect(this->where.host, this->where.port)),
+outbound_socket::outbound_socket(outbound_socket_owner& client, std::uint64_t id,
+                                 outbound_target target)
+    : owner(client), own_id(id), destination(std::move(target)),
+      socket(tcp_socket::connect(this->destination.host, this->destination.port)),
       reader(http_reader_kind::responses, *this, client.settings().max_head)
 {
     if (this->socket.get()) {
-        this->socket.get().set_options(client.settings().unacknowledged_time);
+        this->socket.get().set_options(client.settings().unacknowledged_timeout);
     }
 }
 
 outbound_socket::~outbound_socket()
 {
-    this->host.loop().cancel(this->timer);
+    this->owner.loop().cancel(this->timer);
     if (this->socket.get()) {
-        this->host.loop().forget(this->socket.get().get());
+        this->owner.loop().forget(this->socket.get().get());
     }
 }
 
 void outbound_socket::watch()
 {
-    const bool writes = this->step == phase::connecting || this->socket.unsent() > 0;
-    this->host.loop().watch(this->socket.get().get(), *this, !this->paused, writes);
+    const bool writes = this->current_phase == phase::connecting || this->socket.unsent() > 0;
+    this->owner.loop().watch(this->socket.get().get(), *this, !this->paused, writes);
 }
 
 void outbound_socket::start(outbound_number exchange, const outbound_request& request,
-                            outbound_listener_ptr told)
+                            outbound_listener_ptr callback)
 {
-    this->current = exchange;
-    this->listener = std::move(told);
-    this->head_came = false;
+    this->current_exchange = exchange;
+    this->listener = std::move(callback);
+    this->head_received = false;
     this->skipping = false;
-    this->message_over = false;
+    this->message_complete = false;
     this->answer_time = request.answer_time;
     this->progress_time = request.progress_time;
     this->no_body = request.method == "HEAD";
@@ -72,13 +73,13 @@
         this->fail_soon(outbound_fault::not_connected);
         return;
     }
-    if (this->step == phase::connecting) {
+    if (this->current_phase == phase::connecting) {
         this->unsent_request = std::move(bytes);
         this->arm(request.connect_time);
         this->watch();
         return;
     }
-    this->step = phase::busy;
+    this->current_phase = phase::busy;
     this->reused = true;
     this->arm(this->answer_time);
     if (!this->socket.write(bytes)) {
@@ -92,7 +93,7 @@
 // next exchange at once, to fail as well, would else keep the loop for itself.
 void outbound_socket::fail_soon(outbound_fault why)
 {
-    auto& loop = this->host.loop();
+    auto& loop = this->owner.loop();
     loop.cancel(this->timer);
     this->timer = loop.after(decision::duration::zero(), [this, why] {
         this->timer = 0;
@@ -100,51 +101,51 @@
     });
 }
 
-void outbound_socket::arm(decision::duration longest)
+void outbound_socket::arm(decision::duration limit)
 {
-    auto& loop = this->host.loop();
+    auto& loop = this->owner.loop();
     this->last_progress = loop.now();
-    if (this->bound == longest && this->timer != 0) {
+    if (this->timeout == limit && this->timer != 0) {
         return;
     }
     loop.cancel(this->timer);
     this->timer = 0;
-    this->bound = longest;
-    if (longest > decision::duration::zero()) {
-        this->timer = loop.after(longest, [this] { this->on_time(); });
+    this->timeout = limit;
+    if (limit > decision::duration::zero()) {
+        this->timer = loop.after(limit, [this] { this->on_timer(); });
     }
 }
 
-void outbound_socket::on_time()
+void outbound_socket::on_timer()
 {
-    auto& loop = this->host.loop();
+    auto& loop = this->owner.loop();
     this->timer = 0;
     // Not by the clock: what came while the loop was busy with something else has not been read.
     const auto waited = loop.polled_until() - this->last_progress;
-    if (this->paused || waited < this->bound) {
-        const auto left = this->paused ? this->bound : this->bound - waited;
-        this->timer = loop.after(left, [this] { this->on_time(); });
+    if (this->paused || waited < this->timeout) {
+        const auto left = this->paused ? this->timeout : this->timeout - waited;
+        this->timer = loop.after(left, [this] { this->on_timer(); });
         return;
     }
-    if (this->step == phase::connecting) {
-        this->host.on_connected(false);
+    if (this->current_phase == phase::connecting) {
+        this->owner.on_connected(false);
         this->fail(outbound_fault::not_connected);
-    } else if (this->step == phase::busy && this->listener->on_silence()) {
+    } else if (this->current_phase == phase::busy && this->listener->on_silence()) {
         this->fail(outbound_fault::silent);
-    } else if (this->step == phase::busy) {
-        this->arm(this->bound);
+    } else if (this->current_phase == phase::busy) {
+        this->arm(this->timeout);
     }
 }
 
 void outbound_socket::connected()
 {
     if (!this->socket.get().is_connected()) {
-        this->host.on_connected(false);
+        this->owner.on_connected(false);
         this->fail(outbound_fault::not_connected);
         return;
     }
-    this->host.on_connected(true);
-    this->step = phase::busy;
+    this->owner.on_connected(true);
+    this->current_phase = phase::busy;
     this->arm(this->answer_time);
     const auto bytes = std::exchange(this->unsent_request, {});
     if (!this->socket.write(bytes)) {
@@ -156,7 +157,7 @@
 
 void outbound_socket::on_ready(bool readable, bool writable, bool failed)
 {
-    if (this->step == phase::connecting) {
+    if (this->current_phase == phase::connecting) {
         if (writable || failed) {
             this->connected();
         }
@@ -171,7 +172,7 @@
             this->watch();
         }
     }
-    if ((readable || failed) && this->step != phase::closed && !this->paused) {
+    if ((readable || failed) && this->current_phase != phase::closed && !this->paused) {
         this->read_more();
     }
 }
@@ -183,7 +184,7 @@
     if (transfer.outcome == tcp_outcome::would_block) {
         return;
     }
-    if (this->step == phase::idle) {
+    if (this->current_phase == phase::idle) {
         // Closed, or bytes that answer nothing: either way it is of no more use.
         this->close();
         return;
@@ -193,32 +194,32 @@
         return;
     }
     if (transfer.bytes > 0) {
-        this->take({bytes.data(), transfer.bytes});
+        this->process_bytes({bytes.data(), transfer.bytes});
         return;
     }
-    this->keeps = false;
+    this->reusable = false;
     this->reader.feed_end();
-    if (this->message_over) {
+    if (this->message_complete) {
         this->finish();
     } else {
         this->fail(outbound_fault::connection_lost);
     }
 }
 
-void outbound_socket::take(std::string_view bytes)
+void outbound_socket::process_bytes(std::string_view bytes)
 {
-    this->last_progress = this->host.loop().now();
-    while (!bytes.empty() && this->step == phase::busy && !this->message_over) {
+    this->last_progress = this->owner.loop().now();
+    while (!bytes.empty() && this->current_phase == phase::busy && !this->message_complete) {
         bytes.remove_prefix(this->reader.feed(bytes));
-        if (this->step == phase::busy && this->reader.fault() != framing_fault::none) {
+        if (this->current_phase == phase::busy && this->reader.fault() != framing_fault::none) {
             this->fail(outbound_fault::malformed);
             return;
         }
     }
-    if (this->step == phase::busy && this->message_over) {
+    if (this->current_phase == phase::busy && this->message_complete) {
         // Bytes after the answer belong to nobody: what follows on this connection cannot be
         // trusted.
-        this->keeps = this->keeps && bytes.empty();
+        this->reusable = this->reusable && bytes.empty();
         this->finish();
     }
 }
@@ -227,7 +228,7 @@
 
 bool outbound_socket::on_response(http_response_head head)
 {
-    if (this->step != phase::busy) {
+    if (this->current_phase != phase::busy) {
         return false;
     }
     if (head.status < first_final_status) {
@@ -236,23 +237,23 @@
     }
     const auto verdict = this->listener->on_head(head);
     this->skipping = verdict == head_verdict::skip;
-    if (this->skipping || this->step != phase::busy) {
+    if (this->skipping || this->current_phase != phase::busy) {
         return false;
     }
     if (verdict == head_verdict::drop) {
         this->cancel();
         return false;
     }
-    this->head_came = true;
-    this->keeps = head.keep_alive;
-    this->named_idle_time = named_timeout(head.fields);
+    this->head_received = true;
+    this->reusable = head.keep_alive;
+    this->announced_idle_time = announced_idle_timeout(head.fields);
     this->arm(this->progress_time);
     return this->no_body;
 }
 
 void outbound_socket::on_body(std::string_view piece)
 {
-    if (this->step == phase::busy && !this->skipping) {
+    if (this->current_phase == phase::busy && !this->skipping) {
         this->listener->on_body(piece);
     }
 }
@@ -260,53 +261,53 @@
 void outbound_socket::on_message_end()
 {
     if (!this->skipping) {
-        this->message_over = true;
+        this->message_complete = true;
     }
     this->skipping = false;
 }
 
 decision::instant outbound_socket::idle_end() const
 {
-    const auto& settings = this->host.settings();
-    const auto now = this->host.loop().now();
-    if (this->named_idle_time > decision::duration::zero()) {
-        return now + this->named_idle_time - settings.idle_margin;
+    const auto& settings = this->owner.settings();
+    const auto now = this->owner.loop().now();
+    if (this->announced_idle_time > decision::duration::zero()) {
+        return now + this->announced_idle_time - settings.idle_margin;
     }
-    return now + settings.unnamed_idle_time;
+    return now + settings.default_idle_time;
 }
 
 void outbound_socket::finish()
 {
-    const auto told = std::move(this->listener);
+    const auto callback = std::move(this->listener);
     // An answer that came before the whole request had left: the rest of the request would be taken
     // for the next one.
-    const bool usable = this->keeps && this->socket.unsent() == 0;
-    this->host.on_exchange_over(std::exchange(this->current, 0));
+    const bool usable = this->reusable && this->socket.unsent() == 0;
+    this->owner.on_exchange_end(std::exchange(this->current_exchange, 0));
     this->arm(decision::duration::zero());
     if (usable) {
-        this->step = phase::idle;
+        this->current_phase = phase::idle;
         this->paused = false;
         this->watch();
-        this->host.on_idle(*this, this->idle_end());
+        this->owner.on_idle(*this, this->idle_end());
     } else {
         this->close();
     }
-    told->on_end();
+    callback->on_end();
 }
 
 void outbound_socket::fail(outbound_fault why)
 {
-    if (this->step == phase::closed) {
+    if (this->current_phase == phase::closed) {
         return;
     }
-    const auto told = std::move(this->listener);
+    const auto callback = std::move(this->listener);
     outbound_failure how;
     how.why = why;
-    how.answer_began = this->head_came;
+    how.answer_began = this->head_received;
     how.was_reused = this->reused;
     this->close();
-    if (told) {
-        told->on_failure(how);
+    if (callback) {
+        callback->on_failure(how);
     }
 }
 
@@ -319,26 +320,26 @@
 
 void outbound_socket::pause(bool stop)
 {
-    if (this->step == phase::busy && this->paused != stop) {
+    if (this->current_phase == phase::busy && this->paused != stop) {
         this->paused = stop;
-        this->last_progress = this->host.loop().now();
+        this->last_progress = this->owner.loop().now();
         this->watch();
     }
 }
 
 void outbound_socket::close()
 {
-    if (this->step == phase::closed) {
+    if (this->current_phase == phase::closed) {
         return;
     }
-    this->step = phase::closed;
-    this->host.loop().cancel(this->timer);
+    this->current_phase = phase::closed;
+    this->owner.loop().cancel(this->timer);
     this->timer = 0;
     if (this->socket.get()) {
-        this->host.loop().forget(this->socket.get().get());
+        this->owner.loop().forget(this->socket.get().get());
         this->socket.get().close();
     }
-    this->host.on_closed(*this);
+    this->owner.on_closed(*this);
 }
 
 } // namespace pearhaven::adapters
--- a/adapters/src/outbound_socket.hpp
+++ b/adapters/src/outbound_socket.hpp
@@ -10,14 +10,14 @@
 class outbound_socket;
 
 // What a connection needs of its client.
-class outbound_host {
+class outbound_socket_owner {
 public:
-    virtual ~outbound_host() = default;
+    virtual ~outbound_socket_owner() = default;
     [[nodiscard]] virtual event_loop& loop() = 0;
     [[nodiscard]] virtual const http_outbound_settings& settings() const = 0;
     virtual void on_connected(bool connected) = 0;
 
-    virtual void on_exchange_over(outbound_number exchange) = 0;
+    virtual void on_exchange_end(outbound_number exchange) = 0;
 
     // The connection can carry another exchange until `idle_until`, unless that has passed.
     virtual void on_idle(outbound_socket& connection, decision::instant idle_until) = 0;
@@ -31,7 +31,7 @@
 // back.
 class outbound_socket final : public socket_listener, public http_message_listener {
 public:
-    outbound_socket(outbound_host& client, std::uint64_t name, outbound_target target);
+    outbound_socket(outbound_socket_owner& client, std::uint64_t id, outbound_target target);
     ~outbound_socket() override;
     outbound_socket(const outbound_socket&) = delete;
     outbound_socket& operator=(const outbound_socket&) = delete;
@@ -47,47 +47,47 @@
     void on_body(std::string_view piece) override;
     void on_message_end() override;
 
-    [[nodiscard]] std::uint64_t name() const { return this->number; }
-    [[nodiscard]] outbound_number exchange() const { return this->current; }
-    [[nodiscard]] const outbound_target& target() const { return this->where; }
+    [[nodiscard]] std::uint64_t id() const { return this->own_id; }
+    [[nodiscard]] outbound_number exchange() const { return this->current_exchange; }
+    [[nodiscard]] const outbound_target& target() const { return this->destination; }
 
 private:
     enum class phase { connecting, busy, idle, closed };
 
     void connected();
     void read_more();
-    void take(std::string_view bytes);
+    void process_bytes(std::string_view bytes);
     void finish();
     void fail(outbound_fault why);
     void fail_soon(outbound_fault why);
     void close();
     void watch();
-    void arm(decision::duration bound);
-    void on_time();
+    void arm(decision::duration timeout);
+    void on_timer();
     [[nodiscard]] decision::instant idle_end() const;
 
-    outbound_host& host;
-    std::uint64_t number;
-    outbound_target where;
+    outbound_socket_owner& owner;
+    std::uint64_t own_id;
+    outbound_target destination;
     buffered_socket socket;
     http_reader reader;
-    phase step = phase::connecting;
+    phase current_phase = phase::connecting;
 
-    outbound_number current = 0;
+    outbound_number current_exchange = 0;
     outbound_listener_ptr listener;
     std::string unsent_request; // while connecting
     bool no_body = false;       // the request was HEAD
     bool reused = false;
-    bool head_came = false;
+    bool head_received = false;
     bool skipping = false; // an answer that belongs to an earlier request
-    bool message_over = false;
+    bool message_complete = false;
     bool paused = false;
-    bool keeps = true; // the answer under way leaves the connection open
-    decision::duration named_idle_time{};
+    bool reusable = true; // the answer under way leaves the connection open
+    decision::duration announced_idle_time{};
     decision::duration answer_time{};
     decision::duration progress_time{};
     decision::instant last_progress;
-    decision::duration bound{}; // of the present wait; zero: none
+    decision::duration timeout{}; // of the present wait; zero: none
     timer_number timer = 0;
 };
 
--- a/adapters/src/poller.cpp
+++ b/adapters/src/poller.cpp
@@ -17,17 +17,17 @@
 }
 
 // Rounded up: a wait that ends a little early would spin until its time has come.
-int to_milliseconds(std::optional<std::chrono::nanoseconds> at_most)
+int to_milliseconds(std::optional<std::chrono::nanoseconds> timeout)
 {
-    constexpr std::chrono::milliseconds longest{60'000};
-    if (!at_most) {
+    constexpr std::chrono::milliseconds max_wait{60'000};
+    if (!timeout) {
         return -1;
     }
-    if (*at_most <= std::chrono::nanoseconds::zero()) {
+    if (*timeout <= std::chrono::nanoseconds::zero()) {
         return 0;
     }
-    const auto rounded = std::chrono::ceil<std::chrono::milliseconds>(*at_most);
-    return static_cast<int>(std::min(rounded, longest).count());
+    const auto rounded = std::chrono::ceil<std::chrono::milliseconds>(*timeout);
+    return static_cast<int>(std::min(rounded, max_wait).count());
 }
 
 } // namespace
@@ -64,17 +64,17 @@
     epoll_ctl(this->epoll, EPOLL_CTL_DEL, socket, &unused);
 }
 
-const std::vector<ready_socket>& poller::wait(std::optional<std::chrono::nanoseconds> at_most)
+const std::vector<ready_socket>& poller::wait(std::optional<std::chrono::nanoseconds> timeout)
 {
     this->ready.clear();
-    const auto room = static_cast<int>(this->events.size());
-    int count = epoll_wait(this->epoll, this->events.data(), room, to_milliseconds(at_most));
+    const auto capacity = static_cast<int>(this->events.size());
+    int count = epoll_wait(this->epoll, this->events.data(), capacity, to_milliseconds(timeout));
     // A halt of the process ends the wait without a look at the sockets. What came meanwhile would
     // count as not there.
     while (count < 0 && errno == EINTR) {
-        count = epoll_wait(this->epoll, this->events.data(), room, 0);
+        count = epoll_wait(this->epoll, this->events.data(), capacity, 0);
     }
-    this->full = count == room;
+    this->full = count == capacity;
     for (int index = 0; index < count; ++index) {
         const epoll_event& event = this->events[static_cast<std::size_t>(index)];
         if (event.data.fd == this->wake_event) {
--- a/adapters/src/poller.hpp
+++ b/adapters/src/poller.hpp
@@ -34,7 +34,7 @@
 
     // Waits until a socket is ready, a wake, or the time is over (none: no end). The result holds
     // until the next call.
-    const std::vector<ready_socket>& wait(std::optional<std::chrono::nanoseconds> at_most);
+    const std::vector<ready_socket>& wait(std::optional<std::chrono::nanoseconds> timeout);
 
     // Whether more may have been ready in the last wait than it had room for.
     [[nodiscard]] bool was_full() const { return this->full; }
@@ -42,11 +42,11 @@
     void wake() const;
 
 private:
-    static constexpr std::size_t events_at_once = 256;
+    static constexpr std::size_t max_events_per_wait = 256;
 
     int epoll = -1;
     int wake_event = -1;
-    std::array<epoll_event, events_at_once> events{};
+    std::array<epoll_event, max_events_per_wait> events{};
     std::vector<ready_socket> ready;
     bool full = false;
 };
--- a/adapters/src/tcp_socket.cpp
+++ b/adapters/src/tcp_socket.cpp
@@ -38,7 +38,7 @@
     return tcp_socket(socket(address.ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-void set_number(int socket, int level, int option, int value)
+void set_integer_option(int socket, int level, int option, int value)
 {
     setsockopt(socket, level, option, &value, sizeof value);
 }
@@ -54,21 +54,23 @@
 
 } // namespace
 
-tcp_socket::tcp_socket(tcp_socket&& other) noexcept : number(std::exchange(other.number, -1)) {}
+tcp_socket::tcp_socket(tcp_socket&& other) noexcept
+    : descriptor(std::exchange(other.descriptor, -1))
+{}
 
 tcp_socket& tcp_socket::operator=(tcp_socket&& other) noexcept
 {
     if (this != &other) {
         this->close();
-        this->number = std::exchange(other.number, -1);
+        this->descriptor = std::exchange(other.descriptor, -1);
     }
     return *this;
 }
 
 void tcp_socket::close()
 {
-    if (this->number >= 0) {
-        ::close(std::exchange(this->number, -1));
+    if (this->descriptor >= 0) {
+        ::close(std::exchange(this->descriptor, -1));
     }
 }
 
@@ -79,9 +81,9 @@
         throw std::system_error(std::make_error_code(std::errc::address_not_available), host);
     }
     tcp_socket listener = open_for(*address);
-    set_number(listener.number, SOL_SOCKET, SO_REUSEADDR, 1);
-    if (bind(listener.number, address->ai_addr, address->ai_addrlen) != 0 ||
-        ::listen(listener.number, listen_backlog) != 0) {
+    set_integer_option(listener.descriptor, SOL_SOCKET, SO_REUSEADDR, 1);
+    if (bind(listener.descriptor, address->ai_addr, address->ai_addrlen) != 0 ||
+        ::listen(listener.descriptor, listen_backlog) != 0) {
         throw std::system_error(errno, std::system_category(), host + ":" + std::to_string(port));
     }
     return listener;
@@ -94,7 +96,7 @@
         return {};
     }
     tcp_socket opened = open_for(*address);
-    const int outcome = ::connect(opened.number, address->ai_addr, address->ai_addrlen);
+    const int outcome = ::connect(opened.descriptor, address->ai_addr, address->ai_addrlen);
     if (outcome != 0 && errno != EINPROGRESS) {
         return {};
     }
@@ -103,31 +105,31 @@
 
 tcp_socket tcp_socket::accept() const
 {
-    return tcp_socket(accept4(this->number, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    return tcp_socket(accept4(this->descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
 }
 
 void tcp_socket::set_options(std::chrono::milliseconds unacknowledged_timeout) const
 {
     constexpr int idle_seconds = 5;
     constexpr int probe_seconds = 1;
-    set_number(this->number, IPPROTO_TCP, TCP_NODELAY, 1);
-    set_number(this->number, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_number(this->number, IPPROTO_TCP, TCP_KEEPIDLE, idle_seconds);
-    set_number(this->number, IPPROTO_TCP, TCP_KEEPINTVL, probe_seconds);
-    set_number(this->number, IPPROTO_TCP, TCP_USER_TIMEOUT,
-               static_cast<int>(unacknowledged_timeout.count()));
+    set_integer_option(this->descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
+    set_integer_option(this->descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
+    set_integer_option(this->descriptor, IPPROTO_TCP, TCP_KEEPIDLE, idle_seconds);
+    set_integer_option(this->descriptor, IPPROTO_TCP, TCP_KEEPINTVL, probe_seconds);
+    set_integer_option(this->descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                       static_cast<int>(unacknowledged_timeout.count()));
 }
 
 bool tcp_socket::is_connected() const
 {
     sockaddr_storage peer{};
     socklen_t length = sizeof peer;
-    return getpeername(this->number, reinterpret_cast<sockaddr*>(&peer), &length) == 0;
+    return getpeername(this->descriptor, reinterpret_cast<sockaddr*>(&peer), &length) == 0;
 }
 
-tcp_transfer tcp_socket::read(char* target, std::size_t room) const
+tcp_transfer tcp_socket::read(char* target, std::size_t capacity) const
 {
-    const tcp_transfer transfer = transfer_of(recv(this->number, target, room, 0));
+    const tcp_transfer transfer = transfer_of(recv(this->descriptor, target, capacity, 0));
     if (transfer.outcome == tcp_outcome::done && transfer.bytes == 0) {
         return {tcp_outcome::closed, 0};
     }
@@ -136,14 +138,14 @@
 
 tcp_transfer tcp_socket::write(std::string_view bytes) const
 {
-    return transfer_of(send(this->number, bytes.data(), bytes.size(), MSG_NOSIGNAL));
+    return transfer_of(send(this->descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL));
 }
 
 std::uint16_t tcp_socket::port() const
 {
     sockaddr_storage address{};
     socklen_t length = sizeof address;
-    getsockname(this->number, reinterpret_cast<sockaddr*>(&address), &length);
+    getsockname(this->descriptor, reinterpret_cast<sockaddr*>(&address), &length);
     if (address.ss_family == AF_INET6) {
         return ntohs(reinterpret_cast<const sockaddr_in6&>(address).sin6_port);
     }
--- a/adapters/src/tcp_socket.hpp
+++ b/adapters/src/tcp_socket.hpp
@@ -21,7 +21,7 @@
 class tcp_socket {
 public:
     tcp_socket() = default;
-    explicit tcp_socket(int open_socket) : number(open_socket) {}
+    explicit tcp_socket(int open_socket) : descriptor(open_socket) {}
     ~tcp_socket() { this->close(); }
     tcp_socket(tcp_socket&& other) noexcept;
     tcp_socket& operator=(tcp_socket&& other) noexcept;
@@ -42,16 +42,16 @@
     void set_options(std::chrono::milliseconds unacknowledged_timeout) const;
 
     [[nodiscard]] bool is_connected() const;
-    [[nodiscard]] tcp_transfer read(char* target, std::size_t room) const;
+    [[nodiscard]] tcp_transfer read(char* target, std::size_t capacity) const;
     [[nodiscard]] tcp_transfer write(std::string_view bytes) const;
 
-    [[nodiscard]] explicit operator bool() const { return this->number >= 0; }
-    [[nodiscard]] int get() const { return this->number; }
+    [[nodiscard]] explicit operator bool() const { return this->descriptor >= 0; }
+    [[nodiscard]] int get() const { return this->descriptor; }
     [[nodiscard]] std::uint16_t port() const;
     void close();
 
 private:
-    int number = -1;
+    int descriptor = -1;
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/test/bounded_ring_test.cpp
+++ b/adapters/test/bounded_ring_test.cpp
@@ -27,7 +27,7 @@
     CHECK_FALSE(ring.pop_for(milliseconds(0)).has_value());
 }
 
-TEST(bounded_ring, a_full_ring_refuses_and_leaves_the_item_alone)
+TEST(bounded_ring, a_full_ring_refuses_the_item_and_leaves_it_unchanged)
 {
     CHECK_TRUE(push(1) && push(2));
     auto item = std::make_unique<int>(3);
@@ -44,7 +44,7 @@
     LONGS_EQUAL(2, ring.size());
 }
 
-TEST(bounded_ring, a_closed_ring_takes_nothing_and_hands_out_the_rest)
+TEST(bounded_ring, a_closed_ring_accepts_nothing_and_returns_the_remaining_items)
 {
     CHECK_TRUE(push(1));
     ring.close();
--- a/adapters/test/event_loop_test.cpp
+++ b/adapters/test/event_loop_test.cpp
@@ -46,20 +46,22 @@
 };
 
 // Reads its socket and runs what a test wants.
-class acting_reader final : public adapters::socket_listener {
+class callback_reader final : public adapters::socket_listener {
 public:
-    acting_reader(int from, std::function<void()> acts) : socket(from), act(std::move(acts)) {}
+    callback_reader(int from, std::function<void()> callback)
+        : socket(from), action(std::move(callback))
+    {}
 
     void on_ready(bool /*readable*/, bool /*writable*/, bool /*failed*/) override
     {
         std::array<char, 16> bytes{};
         [[maybe_unused]] const auto count = ::read(this->socket, bytes.data(), bytes.size());
-        this->act();
+        this->action();
     }
 
 private:
     int socket;
-    std::function<void()> act;
+    std::function<void()> action;
 };
 
 } // namespace
@@ -85,7 +87,7 @@
 // A request that came after a stop's last moment was taken as if it had come before. Many sockets
 // were ready at once on a host short of processor time; the work for the first took a while, and
 // the later ones were judged by the time at which the batch began.
-TEST(event_loop, the_clock_is_never_older_than_the_event)
+TEST(event_loop, now_is_not_earlier_than_the_start_of_the_callback)
 {
     constexpr milliseconds work{30};
     adapters::event_loop loop;
@@ -105,19 +107,19 @@
 
 // What a callback leaves to the loop is done before any other callback: two sockets are ready at
 // once, and the second one finds all done.
-TEST(event_loop, a_task_for_soon_runs_after_its_callback_and_before_the_next_one)
+TEST(event_loop, a_soon_task_runs_after_its_callback_and_before_the_next_one)
 {
     adapters::event_loop loop;
     std::string order;
-    const auto act = [&loop, &order] {
+    const auto action = [&loop, &order] {
         loop.soon([&loop, &order] {
             order += "s";
             loop.soon([&order] { order += "t"; });
         });
         order += "c";
     };
-    acting_reader one(this->first[0], act);
-    acting_reader other(this->second[0], act);
+    callback_reader one(this->first[0], action);
+    callback_reader other(this->second[0], action);
     loop.watch(this->first[0], one, true, false);
     loop.watch(this->second[0], other, true, false);
     CHECK_EQUAL(1, write(this->first[1], "x", 1));
@@ -136,7 +138,7 @@
     STRCMP_EQUAL("cstcstqpl", order.c_str());
 }
 
-TEST(event_loop, a_task_for_soon_asked_for_outside_of_callbacks_waits_for_the_run)
+TEST(event_loop, a_soon_task_added_outside_of_callbacks_waits_for_run)
 {
     adapters::event_loop loop;
     bool ran = false;
@@ -149,7 +151,7 @@
     CHECK_TRUE(ran);
 }
 
-TEST(event_loop, a_cancelled_task_for_soon_does_not_run)
+TEST(event_loop, a_cancelled_soon_task_does_not_run)
 {
     adapters::event_loop loop;
     std::string order;
@@ -169,18 +171,18 @@
 }
 
 // Two sockets are ready at once, and whichever is served first ends the other one's listener.
-TEST(event_loop, a_listener_that_an_earlier_callback_destroyed_is_not_called)
+TEST(event_loop, a_listener_destroyed_by_an_earlier_callback_is_not_called)
 {
     adapters::event_loop loop;
     int calls = 0;
-    std::unique_ptr<acting_reader> one;
-    std::unique_ptr<acting_reader> other;
-    one = std::make_unique<acting_reader>(this->first[0], [this, &loop, &calls, &other] {
+    std::unique_ptr<callback_reader> one;
+    std::unique_ptr<callback_reader> other;
+    one = std::make_unique<callback_reader>(this->first[0], [this, &loop, &calls, &other] {
         ++calls;
         loop.forget(this->second[0]);
         other.reset();
     });
-    other = std::make_unique<acting_reader>(this->second[0], [this, &loop, &calls, &one] {
+    other = std::make_unique<callback_reader>(this->second[0], [this, &loop, &calls, &one] {
         ++calls;
         loop.forget(this->first[0]);
         one.reset();
@@ -195,18 +197,18 @@
 }
 
 // A connection is closed and a new one gets its number, while an event of the old one is fetched.
-TEST(event_loop, an_event_does_not_reach_a_new_socket_of_the_same_number)
+TEST(event_loop, an_event_does_not_reach_a_new_socket_with_the_same_descriptor)
 {
     adapters::event_loop loop;
     std::array<int, 2> fresh{};
     CHECK_EQUAL(0, socketpair(AF_UNIX, SOCK_STREAM, 0, fresh.data()));
     int calls = 0;
-    acting_reader newcomer(this->second[0], [&calls] { ++calls; });
-    acting_reader replaced(this->second[0], [] {});
-    acting_reader replacing(this->first[0], [this, &loop, &fresh, &newcomer] {
+    callback_reader new_reader(this->second[0], [&calls] { ++calls; });
+    callback_reader replaced(this->second[0], [] {});
+    callback_reader replacing(this->first[0], [this, &loop, &fresh, &new_reader] {
         loop.forget(this->second[0]);
         dup2(fresh[0], this->second[0]);
-        loop.watch(this->second[0], newcomer, true, false);
+        loop.watch(this->second[0], new_reader, true, false);
     });
     loop.watch(this->first[0], replacing, true, false);
     loop.watch(this->second[0], replaced, true, false);
@@ -221,7 +223,7 @@
     CHECK_EQUAL(0, calls);
 }
 
-TEST(event_loop, a_timer_cancelled_by_one_that_is_due_with_it_does_not_run)
+TEST(event_loop, a_timer_cancelled_by_another_due_timer_does_not_run)
 {
     adapters::event_loop loop;
     std::string order;
@@ -238,18 +240,18 @@
 
 // A caller's request came in time, and its connection was closed since its time was up. Something
 // else had kept the loop; the timer became due meanwhile and ran before the socket was looked at.
-TEST(event_loop, what_came_before_a_timer_was_due_is_heard_before_it_runs)
+TEST(event_loop, data_that_arrived_before_a_timer_was_due_is_read_before_it_runs)
 {
     constexpr milliseconds due{20};
     adapters::event_loop loop;
     std::string order;
-    decision::instant heard_when_busy;
-    acting_reader busy(this->first[0], [&] {
+    decision::instant polled_when_busy;
+    callback_reader busy(this->first[0], [&] {
         CHECK_EQUAL(1, write(this->second[1], "x", 1));
         std::this_thread::sleep_for(2 * due);
-        heard_when_busy = loop.polled_until();
+        polled_when_busy = loop.polled_until();
     });
-    acting_reader caller(this->second[0], [&order] { order += "caller "; });
+    callback_reader caller(this->second[0], [&order] { order += "caller "; });
     loop.watch(this->first[0], busy, true, false);
     loop.watch(this->second[0], caller, true, false);
     CHECK_EQUAL(1, write(this->first[1], "x", 1));
@@ -263,23 +265,23 @@
     loop.forget(this->first[0]);
     loop.forget(this->second[0]);
     STRCMP_EQUAL("caller timer", order.c_str());
-    CHECK_TRUE(heard_when_busy < began + 2 * due);
+    CHECK_TRUE(polled_when_busy < began + 2 * due);
 }
 
 // An endpoint's answer came in time and counts as silence, when a router goes on after it was
 // halted. The halt ended the wait for the sockets, which told of none; what came during the halt
 // was still unread when the timers ran, and by the time up to which all had been heard it was late.
-TEST(event_loop, what_came_while_the_process_was_halted_is_heard_before_a_timer_runs)
+TEST(event_loop, data_that_arrived_while_the_process_was_stopped_is_read_before_a_timer_runs)
 {
     constexpr milliseconds due{300};
     const auto halted = fork();
     if (halted == 0) {
         adapters::event_loop loop;
-        bool was_heard = false;
-        acting_reader caller(this->first[0], [&was_heard] { was_heard = true; });
+        bool was_read = false;
+        callback_reader caller(this->first[0], [&was_read] { was_read = true; });
         loop.watch(this->first[0], caller, true, false);
         loop.after(due, [&loop] { loop.stop(); });
-        const auto is_in_time = [&was_heard] { return was_heard ? 0 : 1; };
+        const auto is_in_time = [&was_read] { return was_read ? 0 : 1; };
         loop.run();
         _exit(is_in_time());
     }
@@ -298,19 +300,19 @@
 
 // As above, on a router with very many connections. One look tells of a bounded number of them; a
 // task of another thread was among them, so that it counted as a look that left nothing out.
-TEST(event_loop, a_full_look_that_tells_of_a_task_is_a_full_look)
+TEST(event_loop, a_full_poll_that_includes_a_posted_task_counts_as_full)
 {
     constexpr std::size_t besides_the_task = 255;
     std::vector<std::array<int, 2>> others(besides_the_task);
-    std::vector<std::unique_ptr<acting_reader>> readers;
+    std::vector<std::unique_ptr<callback_reader>> readers;
     adapters::event_loop loop;
     std::string order;
     for (auto& pair : others) {
         CHECK_EQUAL(0, socketpair(AF_UNIX, SOCK_STREAM, 0, pair.data()));
-        readers.push_back(std::make_unique<acting_reader>(pair[0], [] {}));
+        readers.push_back(std::make_unique<callback_reader>(pair[0], [] {}));
         loop.watch(pair[0], *readers.back(), true, false);
     }
-    acting_reader caller(this->first[0], [&order] { order += "caller "; });
+    callback_reader caller(this->first[0], [&order] { order += "caller "; });
     loop.watch(this->first[0], caller, true, false);
     loop.post([] {});
     for (const auto& pair : others) {
@@ -333,14 +335,14 @@
 
 // While one callback works nobody else is heard; whoever watches for it learns how long, and what
 // did it.
-TEST(event_loop, a_long_callback_is_told_with_its_work)
+TEST(event_loop, a_long_callback_is_reported_with_its_work_name)
 {
     constexpr milliseconds work{30};
     adapters::event_loop loop;
-    std::vector<std::string> told;
+    std::vector<std::string> reported;
     decision::duration longest{};
-    loop.watch_pauses(work, [&told, &longest](const adapters::loop_pause& pause) {
-        told.emplace_back(pause.work);
+    loop.watch_pauses(work, [&reported, &longest](const adapters::loop_pause& pause) {
+        reported.emplace_back(pause.work);
         longest = std::max(longest, pause.took);
     });
     slow_reader unnamed(loop, this->first[0], work);
@@ -353,7 +355,7 @@
     loop.after(4 * work, [&loop] { loop.stop(); });
     loop.run();
     loop.forget(this->first[0]);
-    CHECK_TRUE(std::count(told.begin(), told.end(), "socket") == 1);
-    CHECK_TRUE(std::count(told.begin(), told.end(), "sums") == 1);
+    CHECK_TRUE(std::count(reported.begin(), reported.end(), "socket") == 1);
+    CHECK_TRUE(std::count(reported.begin(), reported.end(), "sums") == 1);
     CHECK_TRUE(longest >= work);
 }
--- a/adapters/test/http_client_test.cpp
+++ b/adapters/test/http_client_test.cpp
@@ -20,7 +20,7 @@
 }
 
 const std::string chunked_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-constexpr std::size_t ample = 1U << 20U;
+constexpr std::size_t max_answer_bytes = 1U << 20U;
 
 // Keeps what it is told; refuses body pieces while `full`.
 class recording_listener : public http_listener {
@@ -90,24 +90,24 @@
 }
 
 // Cancels its exchange and starts the next one from within each of its functions.
-class meddling_listener final : public recording_listener {
+class reentrant_listener final : public recording_listener {
 public:
-    meddling_listener(http_client& of, std::string at) : client(of), url(std::move(at)) {}
+    reentrant_listener(http_client& of, std::string at) : client(of), url(std::move(at)) {}
 
     void on_head(int status,
                  const std::vector<std::pair<std::string, std::string>>& headers) override
     {
         recording_listener::on_head(status, headers);
-        this->meddle();
+        this->cancel_and_start();
     }
     [[nodiscard]] bool on_body(std::string_view piece) override
     {
-        this->meddle();
+        this->cancel_and_start();
         return recording_listener::on_body(piece);
     }
     void on_end(const http_result& result) override
     {
-        this->meddle();
+        this->cancel_and_start();
         recording_listener::on_end(result);
     }
 
@@ -115,7 +115,7 @@
     std::vector<boost::intrusive_ptr<recording_listener>> started;
 
 private:
-    void meddle()
+    void cancel_and_start()
     {
         this->client.cancel(this->exchange);
         this->started.emplace_back(new recording_listener);
@@ -146,7 +146,7 @@
     boost::intrusive_ptr<recording_listener> listener{new recording_listener};
 };
 
-TEST(http_client, an_answer_comes_with_its_status_fields_and_body)
+TEST(http_client, an_answer_has_its_status_fields_and_body)
 {
     raw_server server([](raw_connection& connection, int) {
         connection.read_request();
@@ -154,7 +154,7 @@
                         "HTTP/1.1 418 Teapot\r\nX-Kind:  Round \r\nContent-Length: 5\r\n\r\nshort");
         connection.wait_until_closed();
     });
-    const http_answer answer = fetch_and_wait(*client, get(server.url()), ample);
+    const http_answer answer = fetch_and_wait(*client, get(server.url()), max_answer_bytes);
     CHECK_EQUAL(std::error_code(), answer.result.error);
     LONGS_EQUAL(418, answer.result.status);
     CHECK_TRUE(answer.result.request_sent);
@@ -171,7 +171,7 @@
         {"X-Run-Id", "7"}, {"Content-Length", "999"}, {"Transfer-Encoding", "chunked"}};
     const std::string expected = "POST /a/../b?c=d HTTP/1.1\r\nHost: " + server.url().substr(7) +
                                  "\r\nX-Run-Id: 7\r\nContent-Length: 7\r\n\r\npayload";
-    const http_answer answer = fetch_and_wait(*client, request, ample);
+    const http_answer answer = fetch_and_wait(*client, request, max_answer_bytes);
     STRCMP_EQUAL(expected.c_str(), answer.body.c_str());
 }
 
@@ -179,7 +179,7 @@
 {
     http_request request = get("http://127.0.0.1:1");
     request.headers = {{"X-Run-Id", "7\r\nX-Priority: 0"}};
-    const http_result result = fetch_and_wait(*client, request, ample).result;
+    const http_result result = fetch_and_wait(*client, request, max_answer_bytes).result;
     CHECK_EQUAL(make_error_code(http_error::invalid_request), result.error);
     CHECK_FALSE(result.request_sent);
 }
@@ -188,7 +188,7 @@
 {
     raw_server server(echo);
     setenv("http_proxy", "http://127.0.0.1:1", 1);
-    const http_answer answer = fetch_and_wait(*client, get(server.url()), ample);
+    const http_answer answer = fetch_and_wait(*client, get(server.url()), max_answer_bytes);
     unsetenv("http_proxy");
     LONGS_EQUAL(200, answer.result.status);
 }
@@ -199,12 +199,13 @@
     const std::uint16_t port = port_of(closed);
     close(closed);
     const auto result =
-        fetch_and_wait(*client, get("http://127.0.0.1:" + std::to_string(port)), ample).result;
+        fetch_and_wait(*client, get("http://127.0.0.1:" + std::to_string(port)), max_answer_bytes)
+            .result;
     CHECK_EQUAL(make_error_code(http_error::connect_failed), result.error);
     CHECK_FALSE(result.request_sent);
 }
 
-TEST(http_client, a_connect_that_is_never_answered_times_out_with_nothing_sent)
+TEST(http_client, an_unanswered_connect_times_out_with_nothing_sent)
 {
     // The caller sees a quick `connect_failed`. The server's accept queue is full, so the kernel
     // drops every further connection request without a word, as a lost host would.
@@ -212,7 +213,7 @@
     const int first = connect_to_loopback(port_of(server));
     http_request request = get("http://127.0.0.1:" + std::to_string(port_of(server)));
     request.connect_timeout = milliseconds(200);
-    const http_result result = fetch_and_wait(*client, request, ample).result;
+    const http_result result = fetch_and_wait(*client, request, max_answer_bytes).result;
     CHECK_EQUAL(make_error_code(http_error::connect_failed), result.error);
     CHECK_FALSE(result.request_sent);
     close(first);
@@ -224,13 +225,13 @@
     raw_server server([](raw_connection& connection, int) { connection.wait_until_closed(); });
     http_request request = get(server.url());
     request.first_byte_timeout = milliseconds(200);
-    const http_result result = fetch_and_wait(*client, request, ample).result;
+    const http_result result = fetch_and_wait(*client, request, max_answer_bytes).result;
     CHECK_EQUAL(make_error_code(http_error::first_byte_timeout), result.error);
     CHECK_TRUE(result.request_sent);
     LONGS_EQUAL(0, result.status);
 }
 
-TEST(http_client, an_answer_that_goes_silent_hits_the_progress_timeout)
+TEST(http_client, an_answer_that_stalls_hits_the_progress_timeout)
 {
     raw_server server([](raw_connection& connection, int) {
         connection.read_request();
@@ -239,13 +240,13 @@
     });
     http_request request = get(server.url());
     request.progress_timeout = milliseconds(200);
-    const http_answer answer = fetch_and_wait(*client, request, ample);
+    const http_answer answer = fetch_and_wait(*client, request, max_answer_bytes);
     CHECK_EQUAL(make_error_code(http_error::progress_timeout), answer.result.error);
     LONGS_EQUAL(200, answer.result.status);
     STRCMP_EQUAL("abc", answer.body.c_str());
 }
 
-TEST(http_client, a_slow_answer_that_keeps_coming_is_not_silent)
+TEST(http_client, a_slow_answer_that_makes_progress_is_not_timed_out)
 {
     raw_server server([](raw_connection& connection, int) {
         connection.read_request();
@@ -259,12 +260,12 @@
     });
     http_request request = get(server.url());
     request.progress_timeout = milliseconds(1000); // well under the 1.5 s of the whole answer
-    const http_answer answer = fetch_and_wait(*client, request, ample);
+    const http_answer answer = fetch_and_wait(*client, request, max_answer_bytes);
     CHECK_EQUAL(std::error_code(), answer.result.error);
     STRCMP_EQUAL("xxxxxxxxxxxxxxx", answer.body.c_str());
 }
 
-TEST(http_client, the_total_timeout_ends_an_answer_that_keeps_coming)
+TEST(http_client, the_total_timeout_ends_an_answer_that_makes_progress)
 {
     raw_server server([](raw_connection& connection, int) {
         connection.read_request();
@@ -275,12 +276,12 @@
     });
     http_request request = get(server.url());
     request.total_timeout = milliseconds(300);
-    const http_result result = fetch_and_wait(*client, request, ample).result;
+    const http_result result = fetch_and_wait(*client, request, max_answer_bytes).result;
     CHECK_EQUAL(make_error_code(http_error::total_timeout), result.error);
     client->stop();
 }
 
-TEST(http_client, a_paused_answer_is_not_silent_and_loses_nothing)
+TEST(http_client, a_paused_answer_is_not_timed_out_and_loses_nothing)
 {
     // The caller sees every byte once, in order. The listener has no room for the first piece; the
     // pause outlasts the progress timeout several times; then the listener has room again.
@@ -318,7 +319,7 @@
     CHECK_TRUE(closed.get_future().wait_for(std::chrono::seconds(20)) == std::future_status::ready);
 }
 
-TEST(http_client, an_answer_cut_short_is_a_lost_connection)
+TEST(http_client, a_truncated_answer_is_a_lost_connection)
 {
     raw_server server([](raw_connection& connection, int index) {
         connection.read_request();
@@ -326,7 +327,8 @@
                                    : "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
     });
     for (int attempt = 0; attempt < 2; ++attempt) {
-        const http_result result = fetch_and_wait(*client, get(server.url()), ample).result;
+        const http_result result =
+            fetch_and_wait(*client, get(server.url()), max_answer_bytes).result;
         CHECK_EQUAL(make_error_code(http_error::connection_lost), result.error);
     }
 }
@@ -337,7 +339,7 @@
         connection.read_request();
         connection.send("220 ready when you are\r\n\r\n");
     });
-    const http_result result = fetch_and_wait(*client, get(server.url()), ample).result;
+    const http_result result = fetch_and_wait(*client, get(server.url()), max_answer_bytes).result;
     CHECK_EQUAL(make_error_code(http_error::malformed_answer), result.error);
 }
 
@@ -361,15 +363,15 @@
     }
 }
 
-TEST(http_client, connections_are_pooled_unless_a_fresh_one_is_asked_for)
+TEST(http_client, connections_are_pooled_unless_a_fresh_one_is_requested)
 {
     raw_server server(echo);
     http_request request = get(server.url());
-    fetch_and_wait(*client, request, ample);
-    fetch_and_wait(*client, request, ample);
+    fetch_and_wait(*client, request, max_answer_bytes);
+    fetch_and_wait(*client, request, max_answer_bytes);
     LONGS_EQUAL(1, server.connections());
     request.fresh_connection = true;
-    fetch_and_wait(*client, request, ample);
+    fetch_and_wait(*client, request, max_answer_bytes);
     LONGS_EQUAL(2, server.connections());
 }
 
@@ -399,10 +401,10 @@
     // that crashes on it. Left alone, libcurl sends the booking once more on a fresh connection,
     // POST or not.
     closing_server closing;
-    fetch_and_wait(*client, get(closing.server.url()), ample);
+    fetch_and_wait(*client, get(closing.server.url()), max_answer_bytes);
     http_request request = post(closing.server.url(), "booking");
     request.may_resend = false;
-    const http_result result = fetch_and_wait(*client, request, ample).result;
+    const http_result result = fetch_and_wait(*client, request, max_answer_bytes).result;
     CHECK_EQUAL(make_error_code(http_error::connection_lost), result.error);
     CHECK_TRUE(result.request_sent);
     LONGS_EQUAL(1, closing.bookings.load());
@@ -417,8 +419,9 @@
             connection.wait_until_closed();
         }
     });
-    fetch_and_wait(*client, get(server.url()), ample);
-    const http_answer answer = fetch_and_wait(*client, post(server.url(), "reading"), ample);
+    fetch_and_wait(*client, get(server.url()), max_answer_bytes);
+    const http_answer answer =
+        fetch_and_wait(*client, post(server.url(), "reading"), max_answer_bytes);
     CHECK_EQUAL(std::error_code(), answer.result.error);
     LONGS_EQUAL(2, server.connections());
 }
@@ -429,12 +432,12 @@
     client->start(get(server.url()), listener);
     client->stop();
     CHECK_EQUAL(make_error_code(http_error::client_stopped), listener->wait().error);
-    const http_result late = fetch_and_wait(*client, get(server.url()), ample).result;
+    const http_result late = fetch_and_wait(*client, get(server.url()), max_answer_bytes).result;
     CHECK_EQUAL(make_error_code(http_error::client_stopped), late.error);
     CHECK_FALSE(late.request_sent);
 }
 
-TEST(http_client, a_connection_that_acknowledges_nothing_is_lost_before_the_first_byte_timeout)
+TEST(http_client, a_connection_without_acknowledgements_is_lost_before_the_first_byte_timeout)
 {
     // The caller sees `connection_lost` within the acknowledgement's time, not after the 30 s that
     // an answer may take to begin. The other end takes nothing, so the request stays
@@ -446,12 +449,12 @@
     const auto impatient = make_http_client(settings);
     http_request request = post(silent.url(), std::string(32U << 20U, 'x'));
     request.may_resend = false;
-    const http_result result = fetch_and_wait(*impatient, request, ample).result;
+    const http_result result = fetch_and_wait(*impatient, request, max_answer_bytes).result;
     found = true;
     CHECK_EQUAL(make_error_code(http_error::connection_lost), result.error);
 }
 
-TEST(http_client, many_streams_at_once_come_whole)
+TEST(http_client, many_concurrent_streams_arrive_complete)
 {
     raw_server server([](raw_connection& connection, int) {
         while (!connection.read_request().empty()) {
@@ -506,7 +509,7 @@
         connection.send(chunked_head + "3\r\none\r\n");
         connection.wait_until_closed();
     });
-    boost::intrusive_ptr<meddling_listener> meddler(new meddling_listener(*client, others.url()));
+    boost::intrusive_ptr<reentrant_listener> meddler(new reentrant_listener(*client, others.url()));
     meddler->exchange = client->start(get(server.url()), meddler);
     known = true;
     CHECK_EQUAL(make_error_code(http_error::cancelled), meddler->wait().error);
--- a/adapters/test/http_inbound_test.cpp
+++ b/adapters/test/http_inbound_test.cpp
@@ -26,27 +26,27 @@
 public:
     void on_request(inbound_exchange_ptr exchange) override
     {
-        this->note_call();
+        this->record_call();
         this->targets.push_back(exchange->head().target);
         this->held.push_back(std::move(exchange));
-        if (this->act) {
-            this->act();
+        if (this->on_each_request) {
+            this->on_each_request();
         }
     }
     void on_caller_gone(inbound_exchange& exchange) override
     {
-        this->note_call();
+        this->record_call();
         ++this->gone;
         std::erase_if(this->held, [&exchange](const auto& one) { return one.get() == &exchange; });
     }
     void on_flushed(inbound_exchange& /*exchange*/) override
     {
-        this->note_call();
+        this->record_call();
         ++this->rooms;
     }
 
     // Calls into the oldest request held.
-    void use(const std::function<void(inbound_exchange&)>& call)
+    void call_exchange(const std::function<void(inbound_exchange&)>& call)
     {
         this->inside = true;
         call(*this->held.front());
@@ -55,20 +55,20 @@
 
     std::vector<inbound_exchange_ptr> held;
     std::vector<std::string> targets;
-    std::function<void()> act; // at each request
+    std::function<void()> on_each_request; // at each request
     int gone = 0;
     int rooms = 0;
     bool called_inside = false;
 
 private:
-    void note_call() { this->called_inside = this->called_inside || this->inside; }
+    void record_call() { this->called_inside = this->called_inside || this->inside; }
 
     bool inside = false;
 };
 
 // In which the loop looks several times at its connections, and at the time that they have taken.
-constexpr milliseconds few_looks{20};
-constexpr milliseconds time_of_checks{700};
+constexpr milliseconds several_polls{20};
+constexpr milliseconds several_checks{700};
 
 std::string request(const std::string& target)
 {
@@ -96,7 +96,7 @@
     exchange.end();
 }
 
-void abort_it(inbound_exchange& exchange)
+void abort_exchange(inbound_exchange& exchange)
 {
     exchange.abort();
 }
@@ -144,17 +144,17 @@
 
     // The caller leaves, by a reset or in order, and `call` is the first to meet it, after
     // `before`. Then the loop runs until the connection is gone.
-    void meet_loss(bool by_reset, const std::function<void(inbound_exchange&)>& before,
-                   const std::function<void(inbound_exchange&)>& call)
+    void run_disconnect(bool by_reset, const std::function<void(inbound_exchange&)>& before,
+                        const std::function<void(inbound_exchange&)>& call)
     {
         loop_script script(this->loop);
         this->caller->send(request("/a"));
         script
             .when(this->has_requests(1),
                   [this, by_reset, &before, &call] {
-                      this->listener.use(before);
+                      this->listener.call_exchange(before);
                       by_reset ? this->caller->reset() : this->caller->close();
-                      this->listener.use(call);
+                      this->listener.call_exchange(call);
                   })
             .until(this->all_closed());
         CHECK_TRUE(script.run());
@@ -165,64 +165,64 @@
 // The caller resets its connection, and the answer's send is the first to meet it. The listener
 // was told in the middle of its own call, dropped the request, and the call went on with freed
 // memory: the process died with all its streams.
-TEST(http_inbound, a_reset_met_by_a_whole_answer_is_told_to_nobody_inside_the_call)
+TEST(http_inbound, a_reset_found_by_a_full_answer_is_not_reported)
 {
-    this->meet_loss(
+    this->run_disconnect(
         true, [](auto& /*exchange*/) {}, answer);
     CHECK_EQUAL(0, this->listener.gone); // its answer had ended
 }
 
-TEST(http_inbound, a_reset_met_by_a_head_is_told_after_the_call)
+TEST(http_inbound, a_reset_found_by_a_head_is_reported_after_the_call)
 {
-    this->meet_loss(
+    this->run_disconnect(
         true, [](auto& /*exchange*/) {}, begin);
     CHECK_EQUAL(1, this->listener.gone);
     CHECK_TRUE(this->listener.held.empty());
 }
 
-TEST(http_inbound, a_reset_met_between_pieces_is_told_after_the_call)
+TEST(http_inbound, a_reset_found_between_pieces_is_reported_after_the_call)
 {
-    this->meet_loss(true, begin, write_twice);
+    this->run_disconnect(true, begin, write_twice);
     CHECK_EQUAL(1, this->listener.gone);
 }
 
-TEST(http_inbound, a_reset_met_by_the_end_is_told_to_nobody_inside_the_call)
+TEST(http_inbound, a_reset_found_by_the_end_is_not_reported)
 {
-    this->meet_loss(true, begin, end);
+    this->run_disconnect(true, begin, end);
     CHECK_EQUAL(0, this->listener.gone);
 }
 
-TEST(http_inbound, a_reset_before_an_abort_is_told_to_nobody)
+TEST(http_inbound, a_reset_before_an_abort_is_not_reported)
 {
-    this->meet_loss(true, begin, abort_it);
+    this->run_disconnect(true, begin, abort_exchange);
     CHECK_EQUAL(0, this->listener.gone);
 }
 
-TEST(http_inbound, an_abort_after_a_piece_that_met_a_reset_takes_the_loss_back)
+TEST(http_inbound, an_abort_after_a_piece_that_found_a_reset_cancels_the_report)
 {
-    this->meet_loss(true, begin, [](inbound_exchange& exchange) {
+    this->run_disconnect(true, begin, [](inbound_exchange& exchange) {
         exchange.write("lost");
         exchange.abort();
     });
     CHECK_EQUAL(0, this->listener.gone);
 }
 
-TEST(http_inbound, an_orderly_close_is_told_once_at_each_step_of_an_answer)
+TEST(http_inbound, an_orderly_close_during_an_answer_is_reported_once)
 {
-    this->meet_loss(false, begin, write_twice);
+    this->run_disconnect(false, begin, write_twice);
     CHECK_EQUAL(1, this->listener.gone);
 }
 
-TEST(http_inbound, an_orderly_close_before_a_whole_answer_is_told_to_nobody)
+TEST(http_inbound, an_orderly_close_before_a_full_answer_is_not_reported)
 {
-    this->meet_loss(
+    this->run_disconnect(
         false, [](auto& /*exchange*/) {}, answer);
     CHECK_EQUAL(0, this->listener.gone);
 }
 
-TEST(http_inbound, a_caller_that_left_while_nothing_was_sent_is_told)
+TEST(http_inbound, a_caller_that_disconnects_while_nothing_is_sent_is_reported)
 {
-    this->meet_loss(
+    this->run_disconnect(
         true, [](auto& /*exchange*/) {}, [](auto& /*exchange*/) {});
     CHECK_EQUAL(1, this->listener.gone);
     CHECK_TRUE(this->listener.held.empty());
@@ -230,15 +230,15 @@
 
 // The caller sends its second request before the first one's answer. The second reaches the
 // listener once it is done with the first, and both answers come in order.
-TEST(http_inbound, pipelined_requests_are_taken_after_the_call_that_makes_room_for_them)
+TEST(http_inbound, a_pipelined_request_is_processed_after_the_call_that_answers_the_previous_one)
 {
     loop_script script(this->loop);
     this->caller->send(request("/a") + request("/b"));
-    script.when(this->has_requests(1), [this] { this->listener.use(answer); })
+    script.when(this->has_requests(1), [this] { this->listener.call_exchange(answer); })
         .when(this->has_requests(2),
               [this] {
                   this->listener.held.erase(this->listener.held.begin());
-                  this->listener.use(
+                  this->listener.call_exchange(
                       [](inbound_exchange& exchange) { exchange.answer(200, {}, "second"); });
               })
         .until([this] { return this->caller->has("second"); });
@@ -256,7 +256,7 @@
         .when(this->has_requests(1),
               [this] {
                   this->caller->reset();
-                  this->listener.use(answer);
+                  this->listener.call_exchange(answer);
               })
         .until(this->all_closed());
     CHECK_TRUE(script.run());
@@ -273,7 +273,7 @@
     script
         .when(this->has_requests(1),
               [this] {
-                  this->listener.use(answer);
+                  this->listener.call_exchange(answer);
                   this->server->close_idle();
               })
         .until(this->has_requests(2));
@@ -283,7 +283,7 @@
 // A router that stops closes idle connections at each tick. A whole request had come on one of them
 // and not been read yet; the connection counted as idle, and the request was read and thrown away.
 // Its caller got nothing, and could not know whether it had run.
-TEST(http_inbound, a_connection_on_which_a_request_has_come_is_not_idle)
+TEST(http_inbound, a_connection_with_an_unread_request_is_not_idle)
 {
     loop_script script(this->loop);
     const auto is_open = [this] { return this->server->counts().open == 1; };
@@ -294,7 +294,7 @@
                   this->server->close_idle();
               })
         .when([this] { return this->listener.held.size() == 1; },
-              [this] { this->listener.use(answer); })
+              [this] { this->listener.call_exchange(answer); })
         .until([this] { return this->caller->has("whole"); });
     CHECK_TRUE(script.run());
     CHECK_FALSE(this->listener.called_inside);
@@ -305,7 +305,7 @@
 // with a large configuration; the look for connections that had been idle for too long was the next
 // thing that it did, and it read the clock, not the socket. The bytes were found after the close,
 // and counted.
-TEST(http_inbound, a_request_that_came_while_the_loop_was_busy_is_answered)
+TEST(http_inbound, a_request_that_arrives_while_the_loop_is_busy_is_answered)
 {
     constexpr milliseconds idle_time{1000};
     inbound_limits limits;
@@ -315,11 +315,11 @@
     const auto busy = script_socket::connect(this->server->port());
     loop_script script(this->loop);
     this->caller->send(request("/first"));
-    script.when(this->has_requests(1), [this] { this->listener.use(answer); })
+    script.when(this->has_requests(1), [this] { this->listener.call_exchange(answer); })
         .when([this] { return this->caller->has("whole"); },
               [this, &busy, idle_time] {
-                  this->listener.act = [this, idle_time] {
-                      this->listener.act = nullptr;
+                  this->listener.on_each_request = [this, idle_time] {
+                      this->listener.on_each_request = nullptr;
                       this->caller->send(request("/second"));
                       std::this_thread::sleep_for(idle_time + milliseconds(500));
                   };
@@ -333,10 +333,10 @@
 
 // A caller sends its next request just when the time is up that it was told, and gets no answer:
 // its request and the close crossed on the way.
-TEST(http_inbound, a_connection_is_kept_for_longer_than_its_callers_are_told)
+TEST(http_inbound, a_connection_is_kept_longer_than_the_announced_idle_time)
 {
     constexpr milliseconds idle_time{50};
-    constexpr milliseconds several_looks{600};
+    constexpr milliseconds two_checks{600};
     inbound_limits limits;
     limits.idle_time = idle_time;
     limits.idle_slack = std::chrono::minutes(1);
@@ -347,18 +347,17 @@
     script
         .when(this->has_requests(1),
               [this, &answered] {
-                  this->listener.use(answer);
+                  this->listener.call_exchange(answer);
                   answered = event_loop::read_clock();
               })
-        .when([&answered,
-               several_looks] { return event_loop::read_clock() > answered + several_looks; },
+        .when([&answered, two_checks] { return event_loop::read_clock() > answered + two_checks; },
               [this] { this->caller->send(request("/second")); })
         .until([this] { return this->listener.targets.size() == 2 || this->caller->is_ended(); });
     CHECK_TRUE(script.run());
     CHECK_EQUAL(2, this->listener.targets.size());
 }
 
-TEST(http_inbound, a_connection_that_rests_beyond_its_time_and_slack_is_closed)
+TEST(http_inbound, a_connection_idle_beyond_its_time_and_slack_is_closed)
 {
     inbound_limits limits;
     limits.idle_time = milliseconds(20);
@@ -371,7 +370,7 @@
 }
 
 // The balancer has just opened the connection; its first request is on the way.
-TEST(http_inbound, a_connection_that_has_just_come_is_not_idle)
+TEST(http_inbound, a_new_connection_is_not_idle)
 {
     loop_script script(this->loop);
     script
@@ -379,18 +378,18 @@
               [this] { this->server->close_idle(); })
         .when([] { return true; }, [this] { this->caller->send(request("/first")); })
         .when([this] { return this->listener.held.size() == 1; },
-              [this] { this->listener.use(answer); })
+              [this] { this->listener.call_exchange(answer); })
         .until([this] { return this->caller->has("whole"); });
     CHECK_TRUE(script.run());
 }
 
-TEST(http_inbound, a_connection_that_has_served_is_closed_as_idle)
+TEST(http_inbound, a_connection_that_has_served_a_request_is_closed_as_idle)
 {
     loop_script script(this->loop);
     this->caller->send(request("/first"));
     script
         .when([this] { return this->listener.held.size() == 1; },
-              [this] { this->listener.use(answer); })
+              [this] { this->listener.call_exchange(answer); })
         .when([this] { return this->caller->has("whole"); }, [this] { this->server->close_idle(); })
         .until([this] { return this->caller->is_ended(); });
     CHECK_TRUE(script.run());
@@ -402,7 +401,7 @@
     IGNORE_ALL_LEAKS_IN_TEST(); // the log is made with its first line, and kept
     loop_script script(this->loop);
     this->caller->send(request("/first"));
-    script.when(this->has_requests(1), [this] { this->listener.use(answer); })
+    script.when(this->has_requests(1), [this] { this->listener.call_exchange(answer); })
         .when([this] { return this->caller->has("whole"); }, [this] { this->server->close_idle(); })
         .when([this] { return this->caller->is_ended(); },
               [this] { this->caller->send(request("/late")); })
@@ -414,9 +413,9 @@
 
 // A listener that answers and aborts as soon as it hears of a request, while its bytes are still
 // being taken.
-TEST(http_inbound, a_connection_aborted_while_its_bytes_are_taken_takes_no_more_of_them)
+TEST(http_inbound, a_connection_aborted_while_its_bytes_are_processed_processes_no_more)
 {
-    this->listener.act = [this] { this->listener.held.back()->abort(); };
+    this->listener.on_each_request = [this] { this->listener.held.back()->abort(); };
     this->caller->send(request("/a") + request("/b"));
     loop_script script(this->loop);
     script.until(this->all_closed()).until([this] { return this->caller->is_ended(); });
@@ -432,8 +431,8 @@
     script
         .when(this->has_requests(1),
               [this] {
-                  this->listener.use(begin);
-                  this->listener.use([](inbound_exchange& exchange) {
+                  this->listener.call_exchange(begin);
+                  this->listener.call_exchange([](inbound_exchange& exchange) {
                       exchange.write("before");
                       exchange.abort();
                       exchange.write("after");
@@ -448,7 +447,7 @@
 }
 
 // A head that does not come to its end costs its connection, not its server.
-TEST(http_inbound, a_head_that_stays_unfinished_is_refused)
+TEST(http_inbound, an_incomplete_head_is_refused_after_its_time)
 {
     inbound_limits limits;
     limits.head_time = milliseconds(1);
@@ -463,32 +462,34 @@
 
 // A caller's head is half there when the operator shortens the time for heads. What has begun keeps
 // the time that it began with: the caller was answered 408 for a request that came in good time.
-TEST(http_inbound, a_shorter_time_for_heads_does_not_refuse_one_that_is_half_there)
+TEST(http_inbound, a_shorter_head_time_does_not_refuse_a_head_that_has_begun)
 {
     inbound_limits shorter;
     shorter.head_time = milliseconds(1);
     this->caller->send("GET /a HTTP/1.1\r\nHo");
     loop_script script(this->loop);
-    script.when(this->has_passed(few_looks), [this, shorter] { this->server->set_limits(shorter); })
-        .when(this->has_passed(time_of_checks), [this] { this->caller->send("st: h\r\n\r\n"); })
+    script
+        .when(this->has_passed(several_polls),
+              [this, shorter] { this->server->set_limits(shorter); })
+        .when(this->has_passed(several_checks), [this] { this->caller->send("st: h\r\n\r\n"); })
         .until(this->has_requests(1));
     CHECK_TRUE(script.run());
 }
 
 // The caller's body is half there when the operator lowers the bound of bodies. The answer was 413,
 // which no caller repeats, for a body that was allowed when its head was taken.
-TEST(http_inbound, a_lower_bound_of_bodies_does_not_refuse_one_that_is_half_there)
+TEST(http_inbound, a_lower_body_limit_does_not_refuse_a_body_that_has_begun)
 {
     inbound_limits lower;
     lower.body_bytes = 4;
     this->caller->send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nhalf");
     loop_script script(this->loop);
-    script.when(this->has_passed(few_looks), [this, lower] { this->server->set_limits(lower); })
+    script.when(this->has_passed(several_polls), [this, lower] { this->server->set_limits(lower); })
         .when([] { return true; }, [this] { this->caller->send("half"); })
         .when(this->has_requests(1),
               [this] {
                   STRCMP_EQUAL("halfhalf", this->listener.held.front()->body().c_str());
-                  this->listener.use(answer);
+                  this->listener.call_exchange(answer);
                   this->caller->send("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\n"
                                      "halfhalf");
               })
@@ -498,7 +499,7 @@
 
 // The caller's connection rests between two requests when the operator shortens that rest. The
 // caller was promised the longer one, and sends its next request within it.
-TEST(http_inbound, a_shorter_rest_does_not_close_a_connection_that_rests_already)
+TEST(http_inbound, a_shorter_idle_time_does_not_close_a_connection_that_is_already_idle)
 {
     inbound_limits shorter;
     shorter.idle_time = milliseconds(1);
@@ -507,18 +508,18 @@
     script
         .when(this->has_requests(1),
               [this, shorter] {
-                  this->listener.use(answer);
+                  this->listener.call_exchange(answer);
                   this->listener.held.clear();
                   this->server->set_limits(shorter);
               })
-        .when(this->has_passed(time_of_checks), [this] { this->caller->send(request("/b")); })
+        .when(this->has_passed(several_checks), [this] { this->caller->send(request("/b")); })
         .until(this->has_requests(2));
     CHECK_TRUE(script.run());
 }
 
 // The bound of heads is raised and lowered while a connection stands. The caller is answered by the
 // bound that is in force when its request begins; it was the one at which it had connected.
-TEST(http_inbound, the_bound_of_heads_in_force_holds_on_a_connection_that_stands)
+TEST(http_inbound, a_changed_head_limit_applies_to_the_next_request_of_an_open_connection)
 {
     const auto long_request =
         "GET /a HTTP/1.1\r\nHost: h\r\nA: " + std::string(400, 'a') + "\r\n\r\n";
@@ -531,14 +532,14 @@
     script
         .when(this->has_requests(1),
               [this, long_request] {
-                  this->listener.use(answer);
+                  this->listener.call_exchange(answer);
                   this->listener.held.clear();
                   this->server->set_limits({});
                   this->caller->send(long_request);
               })
         .when(this->has_requests(2),
               [this, long_request, low] {
-                  this->listener.use(answer);
+                  this->listener.call_exchange(answer);
                   this->server->set_limits(low);
                   this->caller->send(long_request);
               })
@@ -547,15 +548,15 @@
 }
 
 // The caller takes nothing of a long answer, and resets while the rest of it waits.
-TEST(http_inbound, a_reset_while_bytes_wait_is_told_once)
+TEST(http_inbound, a_reset_while_bytes_are_unsent_is_reported_once)
 {
     loop_script script(this->loop);
     this->caller->send(request("/a"));
     script
         .when(this->has_requests(1),
               [this] {
-                  this->listener.use(begin);
-                  this->listener.use([](inbound_exchange& exchange) {
+                  this->listener.call_exchange(begin);
+                  this->listener.call_exchange([](inbound_exchange& exchange) {
                       exchange.write(std::string(std::size_t{32} << 20U, 'x'));
                   });
                   CHECK_TRUE(this->listener.held.front()->unsent() > 0);
@@ -569,15 +570,15 @@
 
 // The process ends between a send that met a reset and the moment in which its listener would have
 // been told.
-TEST(http_inbound, a_server_may_end_with_a_loss_untold)
+TEST(http_inbound, a_server_may_be_destroyed_before_a_disconnect_is_reported)
 {
     loop_script script(this->loop);
     this->caller->send(request("/a"));
     script.when(this->has_requests(1), [] {});
     CHECK_TRUE(script.run());
     this->caller->reset();
-    this->listener.use(begin);
+    this->listener.call_exchange(begin);
     this->server.reset();
     CHECK_EQUAL(0, this->listener.gone);
-    this->listener.use(write_twice); // reaches nobody
+    this->listener.call_exchange(write_twice); // reaches nobody
 }
--- a/adapters/test/http_message_test.cpp
+++ b/adapters/test/http_message_test.cpp
@@ -107,12 +107,12 @@
     feed_all(reader, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc");
     reader.feed_end();
     CHECK_EQUAL(0, seen.ends);
-    CHECK_TRUE(framing_fault::too_early == reader.fault());
+    CHECK_TRUE(framing_fault::truncated == reader.fault());
 }
 
 // A second request hidden in a gap between two readings of the first one would reach an endpoint
 // without a route or a key. Each of these forms has such a gap, so none may be passed on.
-TEST(http_message, refuses_what_two_readers_could_read_in_two_ways)
+TEST(http_message, refuses_messages_with_ambiguous_framing)
 {
     const std::vector<std::string> heads = {
         "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n",
@@ -132,7 +132,7 @@
     }
 }
 
-TEST(http_message, refuses_a_head_over_its_bound)
+TEST(http_message, refuses_a_head_over_its_limit)
 {
     const std::string head = "GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(max_head, 'x');
     CHECK_TRUE(framing_fault::head_too_long == fault_of_request(head));
@@ -155,7 +155,7 @@
     CHECK_TRUE(framing_fault::head_too_long == fault_of_request(head.insert(max_head, 1, 'x')));
 }
 
-TEST(http_message, random_bytes_end_in_a_fault_or_in_whole_messages)
+TEST(http_message, random_bytes_end_in_a_fault_or_in_complete_messages)
 {
     CHECK_TRUE(holds("random bytes", [](const std::string& bytes, bool requests) {
         recorder seen;
@@ -167,7 +167,7 @@
     }));
 }
 
-TEST(http_message, names_the_fields_of_one_connection)
+TEST(http_message, identifies_hop_by_hop_fields)
 {
     CHECK_TRUE(is_hop_by_hop("transfer-encoding", ""));
     CHECK_TRUE(is_hop_by_hop("X-Mine", "close, x-mine"));
--- a/adapters/test/http_outbound_test.cpp
+++ b/adapters/test/http_outbound_test.cpp
@@ -90,7 +90,7 @@
 };
 
 // Notes what an exchange brings, and takes or skips heads as told.
-class noting_listener final : public outbound_listener {
+class recording_listener final : public outbound_listener {
 public:
     head_verdict on_head(const http_response_head& head) override
     {
@@ -109,37 +109,37 @@
 };
 
 // Cancels its own exchange in the middle of one of its functions, and says when it is destroyed.
-class leaving_listener final : public outbound_listener {
+class cancelling_listener final : public outbound_listener {
 public:
     enum class moment { head, body, silence };
 
-    struct notes {
+    struct observations {
         bool inside = false;
         bool destroyed = false;
         bool destroyed_inside = false;
         int ended = 0;
     };
 
-    leaving_listener(http_outbound& of, moment chosen, notes& kept)
+    cancelling_listener(http_outbound& of, moment chosen, observations& kept)
         : client(of), when(chosen), seen(kept)
     {}
-    ~leaving_listener() override
+    ~cancelling_listener() override
     {
         this->seen.destroyed = true;
         this->seen.destroyed_inside = this->seen.inside;
     }
-    leaving_listener(const leaving_listener&) = delete;
-    leaving_listener& operator=(const leaving_listener&) = delete;
+    cancelling_listener(const cancelling_listener&) = delete;
+    cancelling_listener& operator=(const cancelling_listener&) = delete;
 
     head_verdict on_head(const http_response_head& /*head*/) override
     {
-        this->leave_at(moment::head);
+        this->cancel_at(moment::head);
         return head_verdict::take;
     }
-    void on_body(std::string_view /*piece*/) override { this->leave_at(moment::body); }
+    void on_body(std::string_view /*piece*/) override { this->cancel_at(moment::body); }
     bool on_silence() override
     {
-        this->leave_at(moment::silence);
+        this->cancel_at(moment::silence);
         return true;
     }
     void on_end() override { ++this->seen.ended; }
@@ -148,7 +148,7 @@
     outbound_number exchange = 0;
 
 private:
-    void leave_at(moment reached)
+    void cancel_at(moment reached)
     {
         auto& kept = this->seen; // still there should this object not be
         if (reached == this->when) {
@@ -160,7 +160,7 @@
 
     http_outbound& client;
     moment when;
-    notes& seen;
+    observations& seen;
 };
 
 // Starts the next exchange as soon as the one that it hears of has ended.
@@ -181,9 +181,9 @@
 };
 
 // Starts the exchange again each time that it fails, up to a bound.
-class persistent_listener final : public outbound_listener {
+class retrying_listener final : public outbound_listener {
 public:
-    persistent_listener(http_outbound& of, outbound_target at, int& tries)
+    retrying_listener(http_outbound& of, outbound_target at, int& tries)
         : client(of), target(std::move(at)), count(tries)
     {}
     head_verdict on_head(const http_response_head& /*head*/) override { return head_verdict::take; }
@@ -191,12 +191,12 @@
     void on_end() override {}
     void on_failure(const outbound_failure& /*how*/) override
     {
-        if (++this->count < most_tries) {
+        if (++this->count < max_tries) {
             this->client.start(this->target, {}, this);
         }
     }
 
-    static constexpr int most_tries = 10000;
+    static constexpr int max_tries = 10000;
 
 private:
     http_outbound& client;
@@ -213,7 +213,7 @@
     event_loop loop;
     std::unique_ptr<scripted_endpoint> endpoint;
     std::unique_ptr<http_outbound> client;
-    leaving_listener::notes left;
+    cancelling_listener::observations observed;
 
     void setup() override
     {
@@ -227,9 +227,9 @@
         this->endpoint.reset();
     }
 
-    boost::intrusive_ptr<noting_listener> ask(outbound_request request = {})
+    boost::intrusive_ptr<recording_listener> ask(outbound_request request = {})
     {
-        boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+        boost::intrusive_ptr<recording_listener> listener(new recording_listener);
         request.fields = {{"Host", "h"}};
         this->client->start(this->endpoint->target(), std::move(request), listener);
         this->run_for(milliseconds(80));
@@ -238,15 +238,15 @@
 
     // A listener that cancels at the moment is destroyed, but not inside its own function, and
     // hears no more.
-    void leave_at(leaving_listener::moment moment, const outbound_request& request = {})
+    void cancel_at(cancelling_listener::moment moment, const outbound_request& request = {})
     {
-        auto* made = new leaving_listener(*this->client, moment, this->left);
+        auto* made = new cancelling_listener(*this->client, moment, this->observed);
         // Here alone the connection holds the last reference, as it does for a relay.
         made->exchange = this->client->start(this->endpoint->target(), request, made);
         this->run_for(milliseconds(80));
-        CHECK_TRUE(this->left.destroyed);
-        CHECK_FALSE(this->left.destroyed_inside);
-        CHECK_EQUAL(0, this->left.ended);
+        CHECK_TRUE(this->observed.destroyed);
+        CHECK_FALSE(this->observed.destroyed_inside);
+        CHECK_EQUAL(0, this->observed.ended);
     }
 
     void run_for(milliseconds time)
@@ -256,7 +256,7 @@
     }
 };
 
-TEST(http_outbound, brings_a_whole_answer)
+TEST(http_outbound, receives_a_complete_answer)
 {
     this->endpoint->answers = {answer};
     const auto seen = this->ask();
@@ -265,7 +265,7 @@
 }
 
 // An endpoint answers an earlier request late, where the answer to ours is due.
-TEST(http_outbound, passes_over_an_answer_to_another_request)
+TEST(http_outbound, skips_an_answer_to_another_request)
 {
     this->endpoint->answers = {"HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\nbad" +
                                answer};
@@ -274,7 +274,7 @@
     STRCMP_EQUAL("ok", seen->body.c_str());
 }
 
-TEST(http_outbound, an_answer_cut_short_is_broken)
+TEST(http_outbound, a_truncated_answer_fails)
 {
     this->endpoint->answers = {answer.substr(0, answer.size() - 1)};
     this->endpoint->closes = true;
@@ -284,13 +284,13 @@
     CHECK_TRUE(seen->broken->answer_began);
 }
 
-TEST(http_outbound, bytes_that_are_no_answer_are_broken)
+TEST(http_outbound, malformed_bytes_fail)
 {
     this->endpoint->answers = {"garbage\r\n\r\n"};
     CHECK_TRUE(this->ask()->broken->why == outbound_fault::malformed);
 }
 
-TEST(http_outbound, silence_ends_after_its_time)
+TEST(http_outbound, silence_fails_after_the_answer_time)
 {
     outbound_request request;
     request.answer_time = milliseconds(20);
@@ -300,21 +300,21 @@
 // An endpoint answers in time, and its request is given up as silent. The answer came while the
 // router was busy with something else for longer than the endpoint may be silent; the timer of that
 // silence ran next, before the socket was read.
-TEST(http_outbound, an_answer_that_came_while_the_loop_was_busy_is_not_silence)
+TEST(http_outbound, an_answer_that_arrived_while_the_loop_was_busy_is_not_silence)
 {
-    constexpr milliseconds patience{1000};
+    constexpr milliseconds answer_timeout{1000};
     tests::script_listener slow_endpoint;
-    boost::intrusive_ptr<noting_listener> waiting(new noting_listener);
-    outbound_request patient;
-    patient.fields = {{"Host", "h"}};
-    patient.answer_time = patience;
-    this->client->start({"slow", "127.0.0.1", slow_endpoint.port()}, patient, waiting);
+    boost::intrusive_ptr<recording_listener> waiting(new recording_listener);
+    outbound_request slow_request;
+    slow_request.fields = {{"Host", "h"}};
+    slow_request.answer_time = answer_timeout;
+    this->client->start({"slow", "127.0.0.1", slow_endpoint.port()}, slow_request, waiting);
     this->endpoint->answers = {answer};
     outbound_request other;
     other.fields = {{"Host", "h"}};
-    const auto hold_loop = [&slow_endpoint, patience](const collected_answer& /*brought*/) {
+    const auto block_loop = [&slow_endpoint, answer_timeout](const collected_answer& /*brought*/) {
         slow_endpoint.connections().front()->send(answer);
-        std::this_thread::sleep_for(patience + milliseconds(500));
+        std::this_thread::sleep_for(answer_timeout + milliseconds(500));
     };
     tests::loop_script script(this->loop);
     script
@@ -323,9 +323,9 @@
                 auto& open = slow_endpoint.connections();
                 return !open.empty() && open.front()->has("\r\n\r\n");
             },
-            [this, &other, &hold_loop] {
+            [this, &other, &block_loop] {
                 this->client->start(this->endpoint->target(), other,
-                                    collect_answer(1024, hold_loop));
+                                    collect_answer(1024, block_loop));
             })
         .until([&waiting] { return waiting->ended || waiting->broken; });
     CHECK_TRUE(script.run());
@@ -333,11 +333,11 @@
     STRCMP_EQUAL("ok", waiting->body.c_str());
 }
 
-TEST(http_outbound, nobody_listening_means_not_sent)
+TEST(http_outbound, a_refused_connection_means_not_connected)
 {
     auto target = this->endpoint->target();
     this->endpoint.reset();
-    boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+    boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->start(target, {}, listener);
     this->run_for(milliseconds(50));
     CHECK_TRUE(listener->broken->why == outbound_fault::not_connected);
@@ -345,29 +345,29 @@
 
 // A relay cancels a run from within the call that brings its bytes, as at a gap in a stream. The
 // listener was destroyed in the middle of its own function, which then went on without an object.
-TEST(http_outbound, a_listener_that_cancels_while_it_hears_a_piece_outlives_the_call)
+TEST(http_outbound, a_listener_that_cancels_in_on_body_outlives_the_call)
 {
     this->endpoint->answers = {answer};
-    this->leave_at(leaving_listener::moment::body);
+    this->cancel_at(cancelling_listener::moment::body);
 }
 
-TEST(http_outbound, a_listener_that_cancels_while_it_hears_a_head_outlives_the_call)
+TEST(http_outbound, a_listener_that_cancels_in_on_head_outlives_the_call)
 {
     this->endpoint->answers = {answer};
-    this->leave_at(leaving_listener::moment::head);
+    this->cancel_at(cancelling_listener::moment::head);
 }
 
-TEST(http_outbound, a_listener_that_cancels_while_it_hears_of_silence_outlives_the_call)
+TEST(http_outbound, a_listener_that_cancels_in_on_silence_outlives_the_call)
 {
     outbound_request request;
     request.answer_time = milliseconds(20);
-    this->leave_at(leaving_listener::moment::silence, request);
+    this->cancel_at(cancelling_listener::moment::silence, request);
 }
 
-TEST(http_outbound, the_next_exchange_may_begin_in_the_end_of_the_one_before)
+TEST(http_outbound, the_next_exchange_may_start_in_on_end_of_the_previous_one)
 {
     this->endpoint->answers = {answer, answer};
-    boost::intrusive_ptr<noting_listener> second(new noting_listener);
+    boost::intrusive_ptr<recording_listener> second(new recording_listener);
     this->client->start(this->endpoint->target(), {},
                         new chaining_listener(*this->client, this->endpoint->target(), second));
     this->run_for(milliseconds(80));
@@ -376,11 +376,11 @@
 }
 
 // Nobody listens at the endpoint, which is known at once; the caller leaves before it is told.
-TEST(http_outbound, an_exchange_cancelled_before_its_failure_is_told_says_nothing)
+TEST(http_outbound, an_exchange_cancelled_before_its_failure_is_reported_reports_nothing)
 {
     auto target = this->endpoint->target();
     target.host = "no number";
-    boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+    boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->cancel(this->client->start(target, {}, listener));
     this->run_for(milliseconds(20));
     CHECK_FALSE(listener->broken.has_value());
@@ -388,11 +388,11 @@
 }
 
 // The client ends with exchanges of which nobody has been told yet.
-TEST(http_outbound, a_client_may_end_with_failures_untold)
+TEST(http_outbound, a_client_may_be_destroyed_before_failures_are_reported)
 {
     auto target = this->endpoint->target();
     target.host = "no number";
-    boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+    boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->start(target, {}, listener);
     this->client->cancel(this->client->start(target, {}, listener));
     this->client.reset();
@@ -402,13 +402,13 @@
 
 // The store cannot be connected to, which is known at once, and each failed call leads to the next
 // one. Whatever else the loop has to do is done in between.
-TEST(http_outbound, exchanges_that_fail_as_they_start_leave_the_loop_to_others)
+TEST(http_outbound, exchanges_that_fail_at_start_do_not_starve_the_loop)
 {
     auto target = this->endpoint->target();
     target.host = "no number";
     int tries = 0;
-    this->client->start(target, {}, new persistent_listener(*this->client, target, tries));
+    this->client->start(target, {}, new retrying_listener(*this->client, target, tries));
     this->loop.post([this] { this->loop.stop(); });
     this->loop.run();
-    CHECK_TRUE(tries < persistent_listener::most_tries);
+    CHECK_TRUE(tries < retrying_listener::max_tries);
 }
--- a/adapters/test/raw_server.hpp
+++ b/adapters/test/raw_server.hpp
@@ -50,8 +50,8 @@
 inline int connect_to_loopback(std::uint16_t port)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const timeval longest_silence{20, 0}; // a test that waits in vain goes on and fails
-    setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &longest_silence, sizeof longest_silence);
+    const timeval receive_timeout{20, 0}; // a test that waits in vain goes on and fails
+    setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
     const sockaddr_in address = loopback(port);
     [[maybe_unused]] const int connected =
         connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address);
@@ -115,11 +115,11 @@
     // closes it.
     void reset() const
     {
-        const linger at_once{1, 0};
-        setsockopt(this->socket, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-        const int nothing = open("/dev/null", O_RDONLY | O_CLOEXEC);
-        dup2(nothing, this->socket);
-        close(nothing);
+        const linger zero_linger{1, 0};
+        setsockopt(this->socket, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
+        const int null_device = open("/dev/null", O_RDONLY | O_CLOEXEC);
+        dup2(null_device, this->socket);
+        close(null_device);
     }
 
 private:
@@ -140,7 +140,7 @@
     using conversation = std::function<void(raw_connection& connection, int index)>;
 
     explicit raw_server(conversation script)
-        : talk(std::move(script)), listener(listen_on_loopback(64)),
+        : script_function(std::move(script)), listener(listen_on_loopback(64)),
           acceptor([this] { this->accept_all(); })
     {}
 
@@ -195,13 +195,13 @@
             this->sockets.push_back(socket);
             this->threads.emplace_back([this, socket, index] {
                 raw_connection connection(socket);
-                this->talk(connection, index);
+                this->script_function(connection, index);
                 connection.shut();
             });
         }
     }
 
-    conversation talk;
+    conversation script_function;
     int listener;
     std::atomic<int> accepted{0};
     std::mutex mutex;
