--- a/adapters/include/pearhaven/adapters/bounded_ring.hpp
+++ b/adapters/include/pearhaven/adapters/bounded_ring.hpp
@@ -11,14 +11,15 @@
 
 namespace pearhaven::adapters {
 
-// Joins two threads: one duty pushes, another pops, and the bound keeps a slow one from filling the
-// memory. A closed ring takes nothing more and hands out what it still holds.
+// A bounded queue between two threads: one pushes, the other pops. The capacity bounds the memory
+// used when the consumer is slow. A closed ring accepts no more items and still returns those it
+// holds.
 template <class Item>
 class bounded_ring {
 public:
     explicit bounded_ring(std::size_t capacity) : items(capacity) {}
 
-    // False when the ring is full or closed; the item is then left as it was.
+    // Returns false when the ring is full or closed; the item is then unchanged.
     [[nodiscard]] bool try_push(Item& item)
     {
         {
@@ -32,7 +33,7 @@
         return true;
     }
 
-    // Waits for room. False when the ring was closed before the item found a place.
+    // Waits for free space. Returns false when the ring was closed before the item could be added.
     [[nodiscard]] bool push(Item item)
     {
         {
@@ -47,8 +48,8 @@
         return true;
     }
 
-    // Waits for an item, at the most until the wait is over. Empty after that, or when the ring is
-    // closed and drained.
+    // Waits for an item for at most `wait`. Returns nothing after that time, or when the ring is
+    // closed and empty.
     template <class Rep, class Period>
     [[nodiscard]] std::optional<Item> pop_for(std::chrono::duration<Rep, Period> wait)
     {
--- a/adapters/include/pearhaven/adapters/http_message.hpp
+++ b/adapters/include/pearhaven/adapters/http_message.hpp
@@ -11,22 +11,22 @@
 
 namespace pearhaven::adapters {
 
-// Header fields in the order in which they came, names as they were spelled.
+// Header fields in the order received, with names in their original spelling.
 using http_fields = std::vector<std::pair<std::string, std::string>>;
 
-// The first field of the name, compared without regard to case; null where there is none.
+// Returns the first field with the name, ignoring case; null if there is none.
 [[nodiscard]] const std::string* find_field(const http_fields& fields, std::string_view name);
 
-// Compares two field names without regard to case.
+// Compares two field names, ignoring case.
 [[nodiscard]] bool same_field_name(std::string_view left, std::string_view right);
 
-// Whether a field concerns a single connection, or frames the message: a router never passes it
-// on. `connection` is the value of the message's own Connection field, which may name more.
+// Whether a field applies to a single connection or frames the message, so that a router must not
+// forward it. `connection` is the value of the message's own Connection field, which may name more.
 [[nodiscard]] bool is_hop_by_hop(std::string_view name, std::string_view connection);
 
 struct http_request_head {
     std::string method;
-    std::string target; // path and query as they came
+    std::string target; // path and query as received
     http_fields fields;
     bool keep_alive = true;
 
@@ -37,27 +37,28 @@
     int status = 0;
     http_fields fields;
     bool keep_alive = true;
-    bool ends_with_connection = false; // neither a length nor chunks: the close is the end
+    bool ends_with_connection =
+        false; // no length and no chunks: the body ends when the connection closes
 
     friend bool operator==(const http_response_head&, const http_response_head&) = default;
 };
 
-// Why bytes are not a message that may be passed on.
+// Why received bytes are not a valid message.
 enum class framing_fault : std::uint8_t {
     none,
-    malformed,        // not HTTP, or a form that two readers could take for different messages
+    malformed,        // not HTTP, or ambiguous framing
     head_too_long,    // more header bytes than allowed
     truncated,        // the connection ended inside a message
-    unexpected_bytes, // bytes where no message was due
+    unexpected_bytes, // bytes where no message was expected
 };
 
-// What a reader found. Functions are called in the order of the message.
+// Receives the messages of a reader. Functions are called in message order.
 class http_message_listener {
 public:
     virtual ~http_message_listener() = default;
 
-    // One of the two, by the reader's kind. `on_response` returns whether the answer has no body
-    // whatever its head says, as after HEAD.
+    // Called with the head of a request or of a response, depending on the reader's kind.
+    // `on_response` returns whether the response has no body regardless of its head, as for HEAD.
     virtual void on_request(http_request_head head) = 0;
     [[nodiscard]] virtual bool on_response(http_response_head head) = 0;
 
@@ -67,10 +68,10 @@
 
 enum class http_reader_kind : std::uint8_t { requests, responses };
 
-// Splits the bytes of one connection into messages, with http-parser below. It is strict where two
-// readers could disagree on where a message ends, because a request hidden in such a gap would
-// reach an endpoint without ever having been routed: bare line feeds, folded lines, spaces before a
-// colon, two lengths, and a length beside chunks are malformed.
+// Splits the bytes of one connection into messages, using http-parser. It is strict where two
+// parsers could disagree on where a message ends, because a request smuggled through such a
+// difference would reach an endpoint without being routed: bare line feeds, folded lines, spaces
+// before a colon, two lengths, and a length together with chunks are malformed.
 class http_reader {
 public:
     // The listener must outlive the reader.
@@ -79,20 +80,20 @@
     http_reader(const http_reader&) = delete;
     http_reader& operator=(const http_reader&) = delete;
 
-    // Holds from the next message on; not to be called inside one.
+    // Applies from the next message on; must not be called inside a message.
     void set_max_head(std::size_t max_head);
 
-    // Takes bytes up to the end of one message at most, and returns how many it took. After a
-    // fault nothing more is taken.
+    // Consumes bytes up to the end of at most one message and returns how many. Nothing is consumed
+    // after a fault.
     std::size_t feed(std::string_view bytes);
 
-    // The other end closed in an orderly way. This ends a response that has no length; within any
-    // other message it is a fault.
+    // The other end closed the connection in an orderly way. This ends a response without a length;
+    // within any other message it is a fault.
     void feed_end();
 
     [[nodiscard]] framing_fault fault() const;
 
-    // Whether a part of a message has come whose end has not.
+    // Whether a message has begun and not ended.
     [[nodiscard]] bool inside_message() const;
 
 private:
@@ -100,13 +101,13 @@
     std::unique_ptr<state> inner;
 };
 
-// The bytes of a message's head, with the blank line. Fields must hold no line ends: those with
-// such bytes are left out.
+// Returns the bytes of a message head, including the blank line. Fields that contain line ends or
+// other control characters are omitted.
 [[nodiscard]] std::string write_request_head(std::string_view method, std::string_view target,
                                              const http_fields& fields);
 [[nodiscard]] std::string write_response_head(int status, const http_fields& fields);
 
-// One chunk of a chunked body; empty for an empty piece.
+// Returns one chunk of a chunked body; empty for an empty piece.
 [[nodiscard]] std::string write_chunk(std::string_view piece);
 inline constexpr std::string_view last_chunk = "0\r\n\r\n";
 
--- a/adapters/include/pearhaven/adapters/percent_encoding.hpp
+++ b/adapters/include/pearhaven/adapters/percent_encoding.hpp
@@ -6,7 +6,7 @@
 
 namespace pearhaven::adapters {
 
-// The text as a query value of a URL.
+// Percent-encodes the text for use as a query value in a URL.
 std::string percent_encoded(std::string_view text);
 
 } // namespace pearhaven::adapters
--- a/adapters/src/buffered_socket.hpp
+++ b/adapters/src/buffered_socket.hpp
@@ -9,16 +9,17 @@
 
 namespace pearhaven::adapters {
 
-// A non-blocking socket with the bytes that it has not taken yet.
+// A non-blocking socket with a buffer for bytes that the socket has not accepted yet.
 class buffered_socket {
 public:
     buffered_socket() = default;
     explicit buffered_socket(tcp_socket open_socket) : socket(std::move(open_socket)) {}
 
-    // Sends at once what the socket takes and keeps the rest. False when the connection is lost.
+    // Writes as much as the socket accepts now and buffers the rest. Returns false when the
+    // connection is lost.
     [[nodiscard]] bool write(std::string_view bytes);
 
-    // Sends kept bytes. False when the connection is lost.
+    // Writes buffered bytes. Returns false when the connection is lost.
     [[nodiscard]] bool flush();
 
     [[nodiscard]] std::size_t unsent() const { return this->pending.size() - this->sent; }
@@ -29,8 +30,8 @@
 private:
     tcp_socket socket;
     std::string pending;
-    std::size_t sent = 0;  // of `kept`
-    std::size_t total = 0; // since the start
+    std::size_t sent = 0;  // bytes of `pending` already written
+    std::size_t total = 0; // bytes written since the socket was opened
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/src/deadline_index.hpp
+++ b/adapters/src/deadline_index.hpp
@@ -10,7 +10,8 @@
 
 using monotonic_time = std::chrono::steady_clock::time_point;
 
-// Base of what has a deadline that moves. The index knows only the time at which to look next.
+// Base class of objects with a deadline that may move. The index stores only the time of the next
+// check.
 class with_deadline : public boost::intrusive::set_base_hook<> {
 public:
     friend bool operator<(const with_deadline& left, const with_deadline& right)
@@ -23,11 +24,11 @@
     monotonic_time next_check;
 };
 
-// Orders objects by when to look at them next. A deadline that moves later, as with each byte that
-// arrives, needs no call: the look finds it in the future and arms it again.
+// Orders objects by the time of their next check. A deadline that moves later, as with each byte
+// received, needs no call: the check finds the deadline in the future and arms the object again.
 class deadline_index {
 public:
-    // Makes sure that the object is looked at no later than the deadline.
+    // Ensures that the object is checked no later than `deadline`.
     void arm(with_deadline& object, monotonic_time deadline)
     {
         if (object.is_linked()) {
@@ -55,7 +56,7 @@
         return this->order.begin()->next_check;
     }
 
-    // Takes out one object whose time to look has come; null when there is none.
+    // Removes and returns one object whose check is due, or null if there is none.
     with_deadline* take_due(monotonic_time now)
     {
         if (this->order.empty() || this->order.begin()->next_check > now) {
--- a/adapters/src/event_loop.cpp
+++ b/adapters/src/event_loop.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// Looks that tell of as many ready sockets as one look can, before what they leave out is no longer
-// waited for. Enough for all sockets that a process may have.
+// How many polls in a row may return a full batch of ready sockets before `polled_until` advances
+// although sockets may have been left out. Enough for all sockets that a process may have.
 constexpr std::size_t max_consecutive_full_polls = 32;
 
 } // namespace
@@ -35,16 +35,15 @@
 
     poller sockets;
     std::unordered_map<int, socket_listener*> listeners;
-    std::unordered_set<int> forgotten; // in the batch of events that is being run
+    std::unordered_set<int> forgotten; // sockets forgotten during the current batch of events
     std::map<std::pair<decision::instant, timer_number>, std::function<void()>> timers;
     std::unordered_map<timer_number, decision::instant> due;
-    std::map<timer_number, std::function<void()>> soon; // in the order in which they were asked for
+    std::map<timer_number, std::function<void()>> soon; // in the order of their creation
     timer_number last_timer = 0;
     decision::instant clock = read_clock();
-    decision::instant polled_until{}; // before the first look nothing has been heard
-    std::size_t consecutive_full_polls =
-        0;                 // in a row, after which more sockets may have been ready
-    std::string_view work; // of the callback that is being run
+    decision::instant polled_until{};       // nothing has been read before the first poll
+    std::size_t consecutive_full_polls = 0; // polls in a row that filled the batch
+    std::string_view work;                  // name of the current work
     decision::duration min_pause{};
     std::function<void(const loop_pause&)> on_pause;
     std::atomic<bool> stopping{false};
@@ -60,7 +59,7 @@
     }
 }
 
-// One reading of the clock ends a callback and begins the next one.
+// One clock reading ends a callback and begins the next one.
 template <typename Callback>
 void event_loop::state::run_callback(std::string_view kind, Callback&& callback)
 {
@@ -89,7 +88,7 @@
 
 void event_loop::state::run_timers()
 {
-    // Those that became due since the sockets were looked at wait for the next turn.
+    // Timers that became due after the poll wait for the next iteration.
     const auto due_by = this->polled_until;
     while (!this->timers.empty() && this->timers.begin()->first.first <= due_by) {
         const auto node = this->timers.extract(this->timers.begin());
@@ -109,8 +108,8 @@
 
 void event_loop::state::run_sockets()
 {
-    // Whatever came before the look began is in it. The moment after it says less: the process may
-    // have been halted in between.
+    // Data that arrived before the poll began is included in its result. The time after the poll
+    // must not be used, because the process may have been stopped in between.
     const auto poll_started = read_clock();
     const auto& ready = this->sockets.wait(this->time_to_next_timer(poll_started));
     this->clock = read_clock();
@@ -126,8 +125,8 @@
     this->record_poll(poll_started);
 }
 
-// The system tells of the ready sockets in turn, a bounded number at once. Sockets that are ready
-// all the time must not keep timers from running for ever.
+// The system returns the ready sockets in turn, a bounded number for each poll. Sockets that are
+// always ready must not keep timers from running forever.
 void event_loop::state::record_poll(decision::instant poll_started)
 {
     const bool may_be_incomplete =
@@ -145,8 +144,8 @@
 void event_loop::watch(int socket, socket_listener& listener, bool readable, bool writable)
 {
     this->inner->listeners[socket] = &listener;
-    // The system refuses only when it is out of memory for the watch; the connection's own timers
-    // then end it.
+    // Watching fails only when the system is out of memory; the connection's own timeouts then end
+    // it.
     [[maybe_unused]] const bool watched = this->inner->sockets.watch(socket, readable, writable);
 }
 
@@ -223,7 +222,7 @@
 void event_loop::run()
 {
     while (!this->inner->stopping) {
-        this->inner->run_soon(); // what was asked for outside of any callback
+        this->inner->run_soon(); // tasks added outside of any callback
         this->inner->run_sockets();
         this->inner->run_posted();
         this->inner->run_timers();
--- a/adapters/src/http_client.cpp
+++ b/adapters/src/http_client.cpp
@@ -32,9 +32,9 @@
     }
 }
 
-// One thread for all exchanges. libcurl says which sockets it waits for and when it wants to be
-// called; the poller waits for both. Cost per wakeup depends on the ready sockets, not on the open
-// ones, which curl_multi_poll would not give.
+// Runs all exchanges on one thread. libcurl reports which sockets it waits for and when it must be
+// called, and the poller waits for both. The cost of a wakeup depends on the number of ready
+// sockets, not of open ones, as it would with curl_multi_poll.
 class curl_http_client : public http_client {
 public:
     explicit curl_http_client(const http_client_settings& wanted);
@@ -208,8 +208,8 @@
     http_exchange& exchange = *owned;
     this->exchanges.emplace(item.exchange, std::move(owned));
 
-    // libcurl's bound counts connections in use too: left alone, many open streams would leave no
-    // room for idle ones, and every short call would connect anew.
+    // libcurl's limit includes connections in use: with a fixed value, many open streams would
+    // leave no capacity for idle connections, and every short call would open a new one.
     const std::size_t bound = this->settings.pooled_connections + this->exchanges.size();
     curl_multi_setopt(this->multi.get(), CURLMOPT_MAXCONNECTS, static_cast<long>(bound));
 
--- a/adapters/src/http_exchange.cpp
+++ b/adapters/src/http_exchange.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t max_head_bytes = 64U << 10U;
 
-// Small, since each open stream holds one; a piece of a token stream is far smaller still.
+// Small, because each open stream holds one buffer; pieces of a token stream are much smaller.
 constexpr long receive_buffer_bytes = 8L << 10U;
 
-// An idle connection older than this is not used again. Most servers keep one longer.
+// Idle connections older than this are not reused. Most servers keep idle connections longer.
 constexpr long max_idle_seconds = 30;
 
 constexpr std::array<std::string_view, 4> framing_fields = {"content-length", "transfer-encoding",
@@ -48,13 +48,13 @@
     });
 }
 
-// A line break inside a value would begin a field, or a request, of the value's author's choosing.
+// A line break inside a value would allow its author to inject a field or a request.
 bool is_field_value(std::string_view text)
 {
     return text.find_first_of(std::string_view("\r\n\0", 3)) == std::string_view::npos;
 }
 
-// libcurl drops a field that ends with its colon; it takes a semicolon for "present but empty".
+// libcurl removes a field that ends with its colon; a semicolon means "present but empty".
 std::string field_line(const std::string& name, std::string_view value)
 {
     std::string line = name;
@@ -155,7 +155,7 @@
 
 bool http_exchange::set_headers()
 {
-    // Fields that libcurl would add by itself: left out unless the caller names them below.
+    // Disables fields that libcurl would add by itself, unless the caller sets them below.
     bool complete = append(this->header_list, "Expect:");
     bool has_accept = false;
     bool has_content_type = false;
@@ -267,10 +267,10 @@
     }
 }
 
-// libcurl calls this on a connection that stands, right before it writes the request, each time
-// that it writes it. It sends a request again on its own when a pooled connection closes without a
-// byte of an answer, whatever the method: the other end may have run it. The abort here keeps a
-// request that must not run twice from being sent twice.
+// libcurl calls this on an established connection before each time that it writes the request. When
+// a pooled connection closes without a byte of an answer, libcurl sends the request again on its
+// own, whatever the method, although the other end may have executed it. The abort prevents a
+// second send of a request that must not run twice.
 int http_exchange::on_sending(void* self, char* /*peer_ip*/, char* /*local_ip*/, int /*peer_port*/,
                               int /*local_port*/)
 {
@@ -331,7 +331,7 @@
 {
     constexpr int first_final_status = 200;
     if (this->status < first_final_status) {
-        return; // an interim answer; the final one follows
+        return; // an interim response; the final one follows
     }
     this->head_finished = true;
     this->last_progress = std::chrono::steady_clock::now();
--- a/adapters/src/http_exchange.hpp
+++ b/adapters/src/http_exchange.hpp
@@ -22,32 +22,33 @@
 };
 using curl_list = std::unique_ptr<curl_slist, curl_list_deleter>;
 
-// One request and its answer on one libcurl handle. Lives on the client's thread.
+// One request and its answer on one libcurl handle. Used only on the client's thread.
 class http_exchange : public with_deadline {
 public:
     http_exchange(exchange_number number, http_request request,
                   boost::intrusive_ptr<http_listener> listener, deadline_index& deadlines);
 
-    // Sets the handle up. False when the request cannot be sent as it stands.
+    // Configures the handle. Returns false when the request is invalid.
     [[nodiscard]] bool prepare(curl_easy handle, const http_client_settings& settings);
 
     [[nodiscard]] exchange_number number() const { return this->own_number; }
     [[nodiscard]] CURL* handle() const { return this->easy.get(); }
     [[nodiscard]] curl_easy release_handle() { return std::move(this->easy); }
 
-    // Earliest time at which the exchange must be given up if nothing happens before.
+    // Earliest time at which the exchange times out if nothing happens before.
     [[nodiscard]] std::optional<monotonic_time> deadline() const;
 
-    // The error that a passed deadline means.
+    // Returns the error for an expired deadline.
     [[nodiscard]] http_error timeout_error(monotonic_time now) const;
 
-    // Lets a paused body flow again. False when libcurl refuses: the exchange is lost.
+    // Resumes a paused body. Returns false when libcurl refuses, in which case the exchange is
+    // lost.
     [[nodiscard]] bool resume();
 
-    // What libcurl's outcome means to the caller.
+    // Converts libcurl's result to an error for the caller.
     [[nodiscard]] http_error to_http_error(CURLcode code) const;
 
-    // The listener's last call.
+    // Makes the listener's last call.
     void end(http_error error);
 
 private:
--- a/adapters/src/http_inbound.cpp
+++ b/adapters/src/http_inbound.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Time between two looks for connections that have used up their time. It adds to each limit.
+// Time between two checks for connections that have exceeded a time limit. It adds to each limit.
 constexpr decision::duration check_period = std::chrono::milliseconds(250);
 
 class inbound_server final : public http_inbound,
@@ -88,7 +88,7 @@
         const int number = accepted.get();
         this->connections[number] = std::make_unique<inbound_socket>(*this, std::move(accepted));
     }
-    // Full: new connections wait in the listening queue until one of these closes.
+    // At the maximum, new connections wait in the listen queue until a connection closes.
     this->events.watch(this->acceptor.get(), *this, false, false);
 }
 
@@ -114,14 +114,14 @@
                 {{"closed_ms", milliseconds(closed)}, {"rested_ms", milliseconds(idle_duration)}});
 }
 
-// Called by the loop alone, when none of the connection's own functions is under way.
+// Called only by the loop, when none of the connection's own functions is running.
 void inbound_server::drop(const inbound_socket& connection)
 {
     this->connections.erase(connection.number());
     this->events.watch(this->acceptor.get(), *this, true, false);
 }
 
-// No call into a connection adds or destroys one: that waits for its turn.
+// Calls into a connection never add or remove connections; that is deferred to the loop.
 template <typename Function>
 void inbound_server::for_each(Function&& act)
 {
--- a/adapters/src/http_message.cpp
+++ b/adapters/src/http_message.cpp
@@ -29,7 +29,7 @@
     return text;
 }
 
-// Whether a comma-separated list holds the word.
+// Whether a comma-separated list contains the word, ignoring case.
 bool list_contains(std::string_view list, std::string_view word)
 {
     while (!list.empty()) {
@@ -60,7 +60,7 @@
     });
 }
 
-// Counts of the fields that frame a message.
+// Counts and validity of the fields that frame a message.
 struct framing_fields {
     int lengths = 0;
     int encodings = 0;
@@ -85,8 +85,8 @@
     }
 }
 
-// Whether each line of the head ends in CR LF, holds a proper field, and frames the message in one
-// way only.
+// Whether each line of the head ends in CR LF and holds a valid field, and the message has exactly
+// one framing.
 bool is_strict_head(std::string_view head, http_reader_kind kind)
 {
     framing_fields seen;
@@ -157,7 +157,7 @@
 
 namespace {
 
-// Whether an answer's head gives its body no end, so that only the close of the connection ends it.
+// Whether the head gives the body no length, so that only the close of the connection ends it.
 bool has_body_until_close(const http_parser& parser)
 {
     constexpr unsigned status_no_content = 204;
@@ -188,11 +188,11 @@
     http_message_listener& listener;
     std::size_t max_head;
     http_parser parser{};
-    std::string head; // bytes of a head that is not whole yet
+    std::string head; // bytes of an incomplete head
     bool in_head = true;
     bool in_body = false;
-    bool ended = false;            // the message that was fed last is whole
-    bool body_until_close = false; // the message under way ends with its connection
+    bool ended = false;            // the last message is complete
+    bool body_until_close = false; // the current body ends when its connection closes
     framing_fault framing_error = framing_fault::none;
     std::string target;
     http_fields fields;
@@ -242,7 +242,7 @@
     state& self = of(parser);
     self.in_head = false;
     self.in_body = true;
-    // An upgrade that is asked for is never made: what follows is an ordinary body.
+    // Upgrades are not supported: the following bytes are an ordinary body.
     parser->upgrade = 0;
     const bool keep_alive = http_should_keep_alive(parser) != 0;
     auto fields = std::exchange(self.fields, {});
@@ -278,7 +278,7 @@
     self.ended = true;
     self.fields.clear(); // trailers
     self.value_began = false;
-    // The next message waits until its owner has dealt with this one.
+    // Stops before the next message until the owner has processed this one.
     http_parser_pause(parser, 1);
     self.listener.on_message_end();
     return 0;
@@ -313,13 +313,14 @@
     return taken;
 }
 
-// Gathers the whole head before any of it counts, so that a head that is refused has had no effect.
+// Buffers the complete head before parsing it, so that a refused head has no effect.
 std::size_t http_reader::state::feed_head(std::string_view bytes)
 {
     const std::size_t before = this->head.size();
     const std::size_t search_from = before < head_end.size() ? 0 : before - head_end.size();
-    // The bound is on what stands before the end. The end's own bytes may come one by one, so that
-    // a head counts as too long only when there is no more room for them.
+    // The limit applies to the bytes before the end of the head. The terminator may arrive in
+    // pieces, so a head counts as too long only when there is no more space for the terminator's
+    // bytes.
     const std::size_t room = this->max_head + head_end.size() - before;
     this->head.append(bytes.substr(0, room));
     const auto end = this->head.find(head_end, search_from);
--- a/adapters/src/http_outbound.cpp
+++ b/adapters/src/http_outbound.cpp
@@ -90,7 +90,8 @@
                 .first->second;
 }
 
-// The one that rested last: the others may then reach the end of their time and go.
+// Takes the most recently used connection, so that the others can reach their idle timeout and
+// close.
 outbound_socket* outbound_client::take_idle(const outbound_target& target)
 {
     const auto pool = this->idle.find(target.pool);
@@ -143,7 +144,7 @@
     }
 }
 
-// What a listener drops as it goes may close further connections: these are swept next.
+// Destroying a listener may close further connections, which the next sweep destroys.
 void outbound_client::destroy_closed()
 {
     this->sweep = 0;
--- a/adapters/src/inbound_socket.cpp
+++ b/adapters/src/inbound_socket.cpp
@@ -11,15 +11,16 @@
 
 constexpr std::size_t read_size = 16U << 10U;
 
-// Bytes of later requests that are kept while one is under way; beyond it they wait in the socket.
+// Maximum of bytes of later requests that are buffered while one is in progress; further bytes stay
+// in the socket.
 constexpr std::size_t max_pipelined_bytes = 64U << 10U;
 
-// How long a connection that this end has closed goes on reading. A close with unread bytes resets
+// How long a connection that this end has closed is still read. A close with unread bytes resets
 // the connection, and the reset can overtake the last answer.
 constexpr decision::duration linger_timeout = std::chrono::seconds(1);
 
-// How long a new connection is not idle, though nothing has come on it yet: the first request is
-// under way for a round trip, which between regions takes tens of milliseconds.
+// How long a new connection does not count as idle although nothing was received on it: the first
+// request is in transit for a round trip, which takes tens of milliseconds between regions.
 constexpr decision::duration first_request_grace = std::chrono::milliseconds(250);
 
 // Longest time that a caller's host may leave sent bytes unacknowledged.
@@ -163,7 +164,8 @@
     }
 }
 
-// Of a request that is lost so its caller knows nothing, and this end nothing but these bytes.
+// Neither the caller nor this end knows whether the lost bytes were a request, so the bytes
+// themselves are counted.
 void inbound_socket::record_bytes_after_close()
 {
     if (std::exchange(this->closed_as_idle, false)) {
@@ -172,8 +174,8 @@
     }
 }
 
-// What has begun ends by the limits that it began with: a caller whose request was allowed when it
-// began to send it would else be refused in the middle of it.
+// A message keeps the limits in force when it began. Otherwise a request that was allowed when its
+// caller began to send it would be refused in the middle.
 void inbound_socket::begin_message()
 {
     this->wait_started = this->owner.loop().now();
@@ -272,7 +274,8 @@
     return this->owner.is_closing() || (this->exchange && !this->exchange->head().keep_alive);
 }
 
-// The exchange is the callers' alone from here on: it may be destroyed as soon as they drop it.
+// The connection gives up its reference to the exchange, which may then be destroyed as soon as its
+// other owners release it.
 void inbound_socket::drop_exchange()
 {
     if (this->exchange) {
@@ -300,7 +303,7 @@
     }
 }
 
-// Answers what cannot be understood and reads no more of it: where it ends is not known.
+// Answers an invalid request and reads no more of it, since the end of the request is unknown.
 void inbound_socket::refuse(int status)
 {
     this->drop_exchange();
@@ -333,9 +336,9 @@
     this->close(false);
 }
 
-// Only marks the connection, of which nothing is read and on which nothing is sent from here on.
-// The listener may be in the middle of the call that met the loss, with the request in its hands:
-// told at once it would drop the request, and the call would go on with what it had dropped.
+// Only marks the connection; nothing is read or sent on it from here on. The listener is notified
+// later, because it may be in the middle of the call that detected the loss: if notified
+// immediately, it would release the request that its call still uses.
 void inbound_socket::close(bool caller_disconnected)
 {
     if (this->current_phase == phase::closed) {
@@ -378,9 +381,10 @@
     }
 }
 
-// A caller that was not listened to is not one that is silent: while the router is busy for seconds
-// with something else, requests come and are not read, and their connections would be closed as
-// idle, or refused as too slow, with the whole request in them. What was heard until then decides.
+// Compares against the time up to which received data was read, not against the clock. While the
+// loop is busy for seconds with other work, requests arrive and are not read; by the clock, their
+// connections would be closed as idle or refused as too slow although the complete request has
+// arrived.
 void inbound_socket::check_time(decision::instant polled_until)
 {
     const auto waited = polled_until - this->wait_started;
@@ -399,8 +403,8 @@
         }
         return;
     }
-    // A head that comes byte by byte would hold its connection for ever. A body may be long: it
-    // has the head's time for each megabyte or part of one.
+    // A head that arrives byte by byte would hold its connection forever. A body may be long, so
+    // the allowed time grows by the head time for each started megabyte of it.
     const auto parts = 1 + (this->exchange ? this->exchange->body().size() >> 20U : 0U);
     const auto head_time = std::max(this->message_limits.head_time, this->owner.limits().head_time);
     if (waited > head_time * static_cast<int>(parts + 1)) {
@@ -424,8 +428,8 @@
     }
 }
 
-// A request that has come and was not read yet would be thrown away with the connection: its caller
-// would have no answer, though all of the request was taken.
+// Reads once more before the close: a request that has arrived but was not read yet would be
+// discarded with the connection, and its caller would get no answer.
 void inbound_socket::close_if_still_idle()
 {
     if (this->is_idle()) {
--- a/adapters/src/inbound_socket.hpp
+++ b/adapters/src/inbound_socket.hpp
@@ -9,7 +9,7 @@
 
 class inbound_socket;
 
-// What a connection needs of its server.
+// The functions of the server that a connection uses.
 class inbound_socket_owner {
 public:
     virtual ~inbound_socket_owner() = default;
@@ -21,15 +21,16 @@
     virtual void on_unacknowledged() = 0;
     virtual void on_closed_as_idle() = 0;
 
-    // Bytes came on a connection that was closed as idle, so long ago, after so long a rest.
+    // Bytes arrived on a connection that was closed as idle. `closed` is the time since the close,
+    // the second value how long the connection had been idle before it.
     virtual void on_sent_to_closed(decision::duration closed, decision::duration idle_duration) = 0;
 
-    // Calls the connection's `take_turn` once the callback that is being run has returned, and then
-    // destroys the connection if it is over.
+    // Calls the connection's `run_deferred_work` once the current callback has returned, and then
+    // destroys the connection if it is closed.
     [[nodiscard]] virtual timer_number schedule_deferred_work(inbound_socket& connection) = 0;
 };
 
-// A request with the way back to the connection that it came on.
+// A request together with the connection that its answer is sent on.
 class connection_exchange final : public inbound_exchange {
 public:
     connection_exchange(inbound_socket& owner, http_request_head request, decision::instant now)
@@ -57,8 +58,9 @@
     decision::instant arrival;
 };
 
-// One connection of a caller. What its listener calls never calls the listener back: a lost
-// connection is only marked, and pipelined bytes are only kept, until its turn comes.
+// One connection of a caller. Functions called by the listener never call the listener back: a lost
+// connection is only marked, and pipelined bytes are only buffered, until the deferred work of the
+// connection runs.
 class inbound_socket final : public socket_listener, public http_message_listener {
 public:
     inbound_socket(inbound_socket_owner& server, tcp_socket accepted);
@@ -72,21 +74,22 @@
     void on_body(std::string_view piece) override;
     void on_message_end() override;
 
-    // For the exchange under way.
+    // For the exchange in progress.
     void send(std::string_view bytes);
     void finish_answer();
     void abort();
     [[nodiscard]] bool closes_after_answer() const;
     [[nodiscard]] std::size_t unsent() const { return this->socket.unsent(); }
 
-    // Carries out what calls have left to the loop. True when the connection is over.
+    // Runs the work that earlier calls deferred to the loop. Returns true when the connection is
+    // closed and can be destroyed.
     [[nodiscard]] bool run_deferred_work();
 
-    // Ends what has taken longer than the limits allow. To be called now and then, with the time
-    // up to which all that came has been told.
+    // Enforces the time limits. Must be called periodically, with the time up to which all received
+    // data has been reported.
     void check_time(decision::instant polled_until);
 
-    // Closes the connection, at its turn, if nothing has come on it by then.
+    // Closes the connection in its deferred work, unless data has arrived by then.
     void close_if_idle();
 
     [[nodiscard]] int number() const { return this->socket.get().get(); }
@@ -114,20 +117,20 @@
     buffered_socket socket;
     http_reader reader;
     phase current_phase = phase::reading;
-    bool processing = false; // inside `take`, which goes on with the next request by itself
+    bool processing = false; // inside `process_bytes`, which continues with the next request
     bool has_served = false;
-    bool idle_close_pending = false; // at its turn
-    bool closed_as_idle = false;     // and nothing has come since
+    bool idle_close_pending = false; // checked in the deferred work
+    bool closed_as_idle = false;     // and nothing was received since
     timer_number deferred_work = 0;
-    std::string pipelined; // bytes after the request under way
+    std::string pipelined; // bytes after the request in progress
 
-    // Under way. Of a closed connection: the one whose listener has yet to hear that the caller
-    // left.
+    // The request in progress. On a closed connection: the one whose listener has not been notified
+    // yet that the caller disconnected.
     boost::intrusive_ptr<connection_exchange> exchange;
-    decision::instant wait_started;     // of the present wait
-    decision::duration idle_duration{}; // until it was closed as idle
-    decision::duration idle_time{};     // as promised to the caller when the wait began
-    inbound_limits message_limits;      // those in force when the message under way began
+    decision::instant wait_started;     // of the current wait
+    decision::duration idle_duration{}; // before it was closed as idle
+    decision::duration idle_time{};     // limit when the wait began, on which the caller relies
+    inbound_limits message_limits;      // limits when the current message began
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/src/incoming_connection.cpp
+++ b/adapters/src/incoming_connection.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-// The sender closes an idle connection; this end only clears up after a sender that is gone.
+// The sender closes idle connections at the idle timeout; this end waits for a multiple of it and
+// so only cleans up after a sender that has disappeared.
 constexpr int idle_factor = 2;
 
 } // namespace
@@ -17,7 +18,8 @@
     this->watch(this->socket.get(), true, false);
     this->set_deadline(std::chrono::steady_clock::now() + settings.handshake_timeout);
 
-    // A fresh socket has room for the nonce. If it has not, the peer gives up after its timeout.
+    // A new socket has buffer space for the nonce. If the write fails, the peer gives up after its
+    // handshake timeout.
     const auto* nonce = reinterpret_cast<const char*>(this->own_nonce.data());
     static_cast<void>(this->socket.write({nonce, this->own_nonce.size()}));
 }
@@ -62,7 +64,7 @@
     } else if (this->buffer.empty()) {
         this->close();
     } else {
-        this->reject(); // cut off within a frame
+        this->reject(); // the connection ended inside a frame
     }
 }
 
--- a/adapters/src/incoming_connection.hpp
+++ b/adapters/src/incoming_connection.hpp
@@ -9,12 +9,13 @@
 
 namespace pearhaven::adapters {
 
-// The receiving end of a connection that a peer opened: both nonces, the opening frame, which is
-// empty, then frames with messages. Until the opening frame has proved the fleet key, nothing
-// longer is taken, so a stranger occupies a few bytes for the handshake's time at the most.
+// The receiving end of a connection opened by a peer. Both ends exchange nonces, the peer sends an
+// empty opening frame, then frames with messages. Until the opening frame has proved the fleet key,
+// longer frames are rejected, so an unauthenticated sender holds only a few bytes for at most the
+// handshake timeout.
 class incoming_connection : public link_connection {
 public:
-    // Takes a payload that passed authentication; false when it is no message.
+    // Receives an authenticated payload; returns false when it is not a valid message.
     using sink = std::function<bool(std::string_view payload)>;
 
     incoming_connection(link_context& context, tcp_socket accepted, sink deliver);
--- a/adapters/src/line_buffer.cpp
+++ b/adapters/src/line_buffer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A second of lines on a busy router.
+// About one second of log lines on a busy router.
 constexpr std::size_t max_waiting_bytes = 256U << 10U;
 
 std::string time_text()
--- a/adapters/src/line_buffer.hpp
+++ b/adapters/src/line_buffer.hpp
@@ -7,8 +7,8 @@
 
 namespace pearhaven::adapters {
 
-// Log lines on their way to a descriptor that may not take them now. Bounded: a reader that has
-// stopped reading costs lines, never a caller's answer.
+// Buffers log lines for a descriptor that may block. The buffer is bounded: when the reader of the
+// log stops reading, lines are dropped and requests are not delayed.
 class line_buffer {
 public:
     // Makes the descriptor non-blocking.
@@ -24,8 +24,8 @@
     int descriptor;
     std::string process;
     std::string waiting;
-    std::uint64_t lost = 0;          // since the start
-    std::uint64_t reported_lost = 0; // of them, already told in a line
+    std::uint64_t lost = 0;          // dropped lines since the start
+    std::uint64_t reported_lost = 0; // dropped lines already reported in the log
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/src/outbound_socket.cpp
+++ b/adapters/src/outbound_socket.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t read_size = 16U << 10U;
 constexpr int first_final_status = 200;
 
-// The whole seconds of `timeout=N` in a Keep-Alive field; zero where it names none.
+// Returns the seconds of `timeout=N` in a Keep-Alive field; zero if there is none.
 decision::duration announced_idle_timeout(const http_fields& fields)
 {
     const std::string* value = find_field(fields, "Keep-Alive");
@@ -89,8 +89,8 @@
     this->watch();
 }
 
-// The listener hears of it in a callback of its own, which others come before: one that starts the
-// next exchange at once, to fail as well, would else keep the loop for itself.
+// Reports the failure in a separate callback that runs after others already due. Otherwise a
+// listener that immediately starts the next exchange, which fails too, would starve the loop.
 void outbound_socket::fail_soon(outbound_fault why)
 {
     auto& loop = this->owner.loop();
@@ -120,7 +120,8 @@
 {
     auto& loop = this->owner.loop();
     this->timer = 0;
-    // Not by the clock: what came while the loop was busy with something else has not been read.
+    // Uses the polled time, not the clock: data that arrived while the loop was busy has not been
+    // read yet.
     const auto waited = loop.polled_until() - this->last_progress;
     if (this->paused || waited < this->timeout) {
         const auto left = this->paused ? this->timeout : this->timeout - waited;
@@ -185,7 +186,7 @@
         return;
     }
     if (this->current_phase == phase::idle) {
-        // Closed, or bytes that answer nothing: either way it is of no more use.
+        // The connection was closed or received unexpected bytes; either way it cannot be reused.
         this->close();
         return;
     }
@@ -217,7 +218,7 @@
         }
     }
     if (this->current_phase == phase::busy && this->message_complete) {
-        // Bytes after the answer belong to nobody: what follows on this connection cannot be
+        // Bytes after the answer belong to no request, so later data on this connection cannot be
         // trusted.
         this->reusable = this->reusable && bytes.empty();
         this->finish();
@@ -279,8 +280,8 @@
 void outbound_socket::finish()
 {
     const auto callback = std::move(this->listener);
-    // An answer that came before the whole request had left: the rest of the request would be taken
-    // for the next one.
+    // If the answer arrived before the whole request was sent, the rest of the request would be
+    // parsed as the next one.
     const bool usable = this->reusable && this->socket.unsent() == 0;
     this->owner.on_exchange_end(std::exchange(this->current_exchange, 0));
     this->arm(decision::duration::zero());
@@ -311,8 +312,8 @@
     }
 }
 
-// The listener hears no more, but it may be the one that cancels, in the middle of one of its own
-// functions: it is dropped with the connection.
+// The listener is not called again, but it may be the one that cancels, from within one of its own
+// functions: it is released when the connection is destroyed.
 void outbound_socket::cancel()
 {
     this->close();
--- a/adapters/src/outbound_socket.hpp
+++ b/adapters/src/outbound_socket.hpp
@@ -9,7 +9,7 @@
 
 class outbound_socket;
 
-// What a connection needs of its client.
+// The functions of the client that a connection uses.
 class outbound_socket_owner {
 public:
     virtual ~outbound_socket_owner() = default;
@@ -19,16 +19,15 @@
 
     virtual void on_exchange_end(outbound_number exchange) = 0;
 
-    // The connection can carry another exchange until `idle_until`, unless that has passed.
+    // The connection can be reused for another exchange until `idle_until`, unless that has passed.
     virtual void on_idle(outbound_socket& connection, decision::instant idle_until) = 0;
 
-    // Nothing more comes of the connection. It is destroyed once the callback that is being run has
-    // returned.
+    // The connection is closed. It is destroyed once the current callback has returned.
     virtual void on_closed(outbound_socket& connection) = 0;
 };
 
-// One connection to an endpoint or to the store. What its listener calls never calls the listener
-// back.
+// One connection to an endpoint or to the store. Functions called by the listener never call the
+// listener back.
 class outbound_socket final : public socket_listener, public http_message_listener {
 public:
     outbound_socket(outbound_socket_owner& client, std::uint64_t id, outbound_target target);
@@ -79,15 +78,15 @@
     bool no_body = false;       // the request was HEAD
     bool reused = false;
     bool head_received = false;
-    bool skipping = false; // an answer that belongs to an earlier request
+    bool skipping = false; // the current answer belongs to an earlier request
     bool message_complete = false;
     bool paused = false;
-    bool reusable = true; // the answer under way leaves the connection open
+    bool reusable = true; // the connection can be reused after the current answer
     decision::duration announced_idle_time{};
     decision::duration answer_time{};
     decision::duration progress_time{};
     decision::instant last_progress;
-    decision::duration timeout{}; // of the present wait; zero: none
+    decision::duration timeout{}; // of the current wait; zero: none
     timer_number timer = 0;
 };
 
--- a/adapters/src/poller.cpp
+++ b/adapters/src/poller.cpp
@@ -16,7 +16,7 @@
     throw std::system_error(errno, std::system_category(), what);
 }
 
-// Rounded up: a wait that ends a little early would spin until its time has come.
+// Rounds up: a wait that ends slightly early would make the loop spin until the time is reached.
 int to_milliseconds(std::optional<std::chrono::nanoseconds> timeout)
 {
     constexpr std::chrono::milliseconds max_wait{60'000};
@@ -69,8 +69,8 @@
     this->ready.clear();
     const auto capacity = static_cast<int>(this->events.size());
     int count = epoll_wait(this->epoll, this->events.data(), capacity, to_milliseconds(timeout));
-    // A halt of the process ends the wait without a look at the sockets. What came meanwhile would
-    // count as not there.
+    // A stop of the process (SIGSTOP) ends the wait with EINTR before the sockets are checked.
+    // Polling again returns data that arrived meanwhile.
     while (count < 0 && errno == EINTR) {
         count = epoll_wait(this->epoll, this->events.data(), capacity, 0);
     }
--- a/adapters/src/poller.hpp
+++ b/adapters/src/poller.hpp
@@ -16,27 +16,28 @@
     bool failed = false;
 };
 
-// Waits for many sockets at once, at a cost that depends on the ready ones only. One thread waits;
+// Waits for many sockets at a cost that depends only on the number of ready ones. One thread waits;
 // any thread may wake it.
 class poller {
 public:
-    // Throws std::system_error when the system refuses.
+    // Throws std::system_error when the system cannot create the poller.
     poller();
     ~poller();
     poller(const poller&) = delete;
     poller& operator=(const poller&) = delete;
 
-    // Replaces what is watched of the socket. False when the system refuses.
+    // Sets which events of the socket are watched, replacing earlier ones. Returns false when the
+    // system refuses.
     [[nodiscard]] bool watch(int socket, bool readable, bool writable) const noexcept;
 
-    // Harmless when the socket is not watched or already closed.
+    // Does nothing when the socket is not watched or already closed.
     void forget(int socket) const noexcept;
 
-    // Waits until a socket is ready, a wake, or the time is over (none: no end). The result holds
-    // until the next call.
+    // Waits until a socket is ready, `wake` is called, or the timeout expires (none: no timeout).
+    // The result is valid until the next call.
     const std::vector<ready_socket>& wait(std::optional<std::chrono::nanoseconds> timeout);
 
-    // Whether more may have been ready in the last wait than it had room for.
+    // Whether the last wait filled its batch, so that more sockets may have been ready.
     [[nodiscard]] bool was_full() const { return this->full; }
 
     void wake() const;
--- a/adapters/src/tcp_socket.hpp
+++ b/adapters/src/tcp_socket.hpp
@@ -14,10 +14,10 @@
 struct tcp_transfer {
     tcp_outcome outcome = tcp_outcome::closed;
     std::size_t bytes = 0;
-    int error = 0; // the system's, of a connection that is closed; 0 where the other end closed it
+    int error = 0; // errno of a lost connection; 0 when the other end closed it
 };
 
-// Owns one non-blocking TCP socket; may be empty. Hosts are IP numbers.
+// Owns one non-blocking TCP socket, or none. Hosts are given as IP addresses.
 class tcp_socket {
 public:
     tcp_socket() = default;
@@ -28,17 +28,17 @@
     tcp_socket(const tcp_socket&) = delete;
     tcp_socket& operator=(const tcp_socket&) = delete;
 
-    // Throws std::system_error.
+    // Throws std::system_error when the address is invalid or cannot be bound.
     static tcp_socket listen(const std::string& host, std::uint16_t port);
 
-    // Begins to connect; empty when that fails at once.
+    // Starts to connect. Returns an empty socket when that fails immediately.
     static tcp_socket connect(const std::string& host, std::uint16_t port);
 
-    // The next waiting connection; empty with errno set when there is none.
+    // Returns the next pending connection; empty with errno set when there is none.
     [[nodiscard]] tcp_socket accept() const;
 
-    // No delay of small writes; probes when idle; an end with an error when the other host does not
-    // acknowledge for so long.
+    // Disables the delay of small writes, enables keepalive probes on an idle connection, and makes
+    // the connection fail when the other host does not acknowledge sent bytes within the timeout.
     void set_options(std::chrono::milliseconds unacknowledged_timeout) const;
 
     [[nodiscard]] bool is_connected() const;
