--- a/adapters/src/http_client.cpp
+++ b/adapters/src/http_client.cpp
@@ -28,7 +28,8 @@
 {
     static const CURLcode initialized = curl_global_init(CURL_GLOBAL_DEFAULT);
     if (initialized != CURLE_OK) {
-        throw std::system_error(std::make_error_code(std::errc::not_enough_memory), "libcurl");
+        throw std::system_error(std::make_error_code(std::errc::not_enough_memory),
+                                "cannot initialize libcurl");
     }
 }
 
@@ -88,7 +89,8 @@
     : settings(wanted), multi(curl_multi_init())
 {
     if (!this->multi) {
-        throw std::system_error(std::make_error_code(std::errc::not_enough_memory), "libcurl");
+        throw std::system_error(std::make_error_code(std::errc::not_enough_memory),
+                                "cannot initialize libcurl");
     }
     curl_multi_setopt(this->multi.get(), CURLMOPT_SOCKETFUNCTION, &curl_http_client::on_socket);
     curl_multi_setopt(this->multi.get(), CURLMOPT_SOCKETDATA, this);
--- a/adapters/src/http_error.cpp
+++ b/adapters/src/http_error.cpp
@@ -14,15 +14,15 @@
         case http_error::none:
             return "no error";
         case http_error::connect_failed:
-            return "no connection";
+            return "connection could not be established";
         case http_error::first_byte_timeout:
-            return "no answer began in time";
+            return "no answer began before the first-byte timeout";
         case http_error::progress_timeout:
-            return "the answer went silent";
+            return "the answer stalled";
         case http_error::total_timeout:
-            return "not finished in time";
+            return "exchange exceeded its total timeout";
         case http_error::connection_lost:
-            return "connection closed before the answer was whole";
+            return "connection closed before the answer was complete";
         case http_error::cancelled:
             return "cancelled";
         case http_error::malformed_answer:
@@ -30,7 +30,7 @@
         case http_error::client_stopped:
             return "client stopped";
         case http_error::invalid_request:
-            return "request cannot be sent as it stands";
+            return "request has an invalid method, URL or header field";
         }
         return "unknown error";
     }
--- a/adapters/src/http_inbound.cpp
+++ b/adapters/src/http_inbound.cpp
@@ -104,7 +104,7 @@
 void inbound_server::on_unacknowledged()
 {
     ++this->counted.unacknowledged;
-    log_warning("caller_unreachable", {{"cause", "what was sent is not acknowledged"}});
+    log_warning("caller_unreachable", {{"cause", "sent bytes were not acknowledged"}});
 }
 
 void inbound_server::on_sent_to_closed(decision::duration closed, decision::duration idle_duration)
--- a/adapters/src/http_outbound.cpp
+++ b/adapters/src/http_outbound.cpp
@@ -198,7 +198,7 @@
     {
         this->collected.status = head.status;
         this->collected.fields = head.fields;
-        return head_verdict::process_bytes;
+        return head_verdict::take;
     }
 
     void on_body(std::string_view piece) override
--- a/adapters/test/event_loop_test.cpp
+++ b/adapters/test/event_loop_test.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-// Reads its socket, notes the loop's time, and then keeps the loop busy.
+// Reads its socket, records the loop's time, and then blocks the loop.
 class slow_reader final : public adapters::socket_listener {
 public:
     slow_reader(adapters::event_loop& runs_on, int from, milliseconds works)
@@ -45,7 +45,7 @@
     milliseconds work;
 };
 
-// Reads its socket and runs what a test wants.
+// Reads its socket and calls a function of the test.
 class callback_reader final : public adapters::socket_listener {
 public:
     callback_reader(int from, std::function<void()> callback)
@@ -84,9 +84,9 @@
     }
 };
 
-// A request that came after a stop's last moment was taken as if it had come before. Many sockets
-// were ready at once on a host short of processor time; the work for the first took a while, and
-// the later ones were judged by the time at which the batch began.
+// Guards against a request being accepted after a stop deadline. Many sockets were ready at once on
+// a host short of processor time, and later ones were processed with the time at which the batch
+// began.
 TEST(event_loop, now_is_not_earlier_than_the_start_of_the_callback)
 {
     constexpr milliseconds work{30};
@@ -105,8 +105,7 @@
     CHECK_TRUE(between >= work);
 }
 
-// What a callback leaves to the loop is done before any other callback: two sockets are ready at
-// once, and the second one finds all done.
+// Soon tasks run before any other callback, also when two sockets are ready at once.
 TEST(event_loop, a_soon_task_runs_after_its_callback_and_before_the_next_one)
 {
     adapters::event_loop loop;
@@ -166,11 +165,12 @@
         loop.stop();
     });
     loop.run();
-    loop.cancel(third); // has run: harmless
+    loop.cancel(third); // has run already, so nothing happens
     STRCMP_EQUAL("ac", order.c_str());
 }
 
-// Two sockets are ready at once, and whichever is served first ends the other one's listener.
+// Two sockets are ready at once, and the one that is served first destroys the other one's
+// listener.
 TEST(event_loop, a_listener_destroyed_by_an_earlier_callback_is_not_called)
 {
     adapters::event_loop loop;
@@ -196,7 +196,8 @@
     CHECK_EQUAL(1, calls);
 }
 
-// A connection is closed and a new one gets its number, while an event of the old one is fetched.
+// A connection is closed and a new one gets its descriptor while an event of the old one is already
+// fetched.
 TEST(event_loop, an_event_does_not_reach_a_new_socket_with_the_same_descriptor)
 {
     adapters::event_loop loop;
@@ -238,8 +239,9 @@
     STRCMP_EQUAL("a", order.c_str());
 }
 
-// A caller's request came in time, and its connection was closed since its time was up. Something
-// else had kept the loop; the timer became due meanwhile and ran before the socket was looked at.
+// Guards against closing a connection as idle although a request had arrived in time. Another
+// callback blocked the loop, the timer became due meanwhile, and it ran before the socket was
+// polled.
 TEST(event_loop, data_that_arrived_before_a_timer_was_due_is_read_before_it_runs)
 {
     constexpr milliseconds due{20};
@@ -268,9 +270,9 @@
     CHECK_TRUE(polled_when_busy < began + 2 * due);
 }
 
-// An endpoint's answer came in time and counts as silence, when a router goes on after it was
-// halted. The halt ended the wait for the sockets, which told of none; what came during the halt
-// was still unread when the timers ran, and by the time up to which all had been heard it was late.
+// Guards against counting an answer that arrived in time as silence after the process was stopped
+// and continued. The stop ended the poll with no ready sockets, so timers ran before data that
+// arrived during the stop was read.
 TEST(event_loop, data_that_arrived_while_the_process_was_stopped_is_read_before_a_timer_runs)
 {
     constexpr milliseconds due{300};
@@ -298,8 +300,8 @@
     CHECK_EQUAL(0, WEXITSTATUS(status));
 }
 
-// As above, on a router with very many connections. One look tells of a bounded number of them; a
-// task of another thread was among them, so that it counted as a look that left nothing out.
+// As above, with many connections. A poll returns a bounded number of events; the wakeup for a
+// posted task was one of them, so that a full poll was not recognized as full.
 TEST(event_loop, a_full_poll_that_includes_a_posted_task_counts_as_full)
 {
     constexpr std::size_t besides_the_task = 255;
@@ -333,8 +335,7 @@
     STRCMP_EQUAL("caller timer", order.c_str());
 }
 
-// While one callback works nobody else is heard; whoever watches for it learns how long, and what
-// did it.
+// A long callback blocks all others; pause reports contain its duration and work.
 TEST(event_loop, a_long_callback_is_reported_with_its_work_name)
 {
     constexpr milliseconds work{30};
--- a/adapters/test/http_client_test.cpp
+++ b/adapters/test/http_client_test.cpp
@@ -22,7 +22,7 @@
 const std::string chunked_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 constexpr std::size_t max_answer_bytes = 1U << 20U;
 
-// Keeps what it is told; refuses body pieces while `full`.
+// Records its calls; refuses body pieces while `full`.
 class recording_listener : public http_listener {
 public:
     void on_head(int status, const std::vector<std::pair<std::string, std::string>>&) override
@@ -89,7 +89,7 @@
     return request;
 }
 
-// Cancels its exchange and starts the next one from within each of its functions.
+// Cancels its exchange and starts another from within each of its functions.
 class reentrant_listener final : public recording_listener {
 public:
     reentrant_listener(http_client& of, std::string at) : client(of), url(std::move(at)) {}
@@ -126,7 +126,7 @@
     std::string url;
 };
 
-// Answers each request of each connection with its own text.
+// Answers each request with the request's own text.
 void echo(raw_connection& connection, int /*index*/)
 {
     for (;;) {
@@ -207,8 +207,9 @@
 
 TEST(http_client, an_unanswered_connect_times_out_with_nothing_sent)
 {
-    // The caller sees a quick `connect_failed`. The server's accept queue is full, so the kernel
-    // drops every further connection request without a word, as a lost host would.
+    // Guards against waiting for a lost host longer than the connect timeout. The server's accept
+    // queue is full, so the kernel drops further connection requests silently, as a lost host
+    // would.
     const int server = listen_on_loopback(0);
     const int first = connect_to_loopback(port_of(server));
     http_request request = get("http://127.0.0.1:" + std::to_string(port_of(server)));
@@ -283,8 +284,8 @@
 
 TEST(http_client, a_paused_answer_is_not_timed_out_and_loses_nothing)
 {
-    // The caller sees every byte once, in order. The listener has no room for the first piece; the
-    // pause outlasts the progress timeout several times; then the listener has room again.
+    // The caller receives every byte once and in order, although the listener refuses the first
+    // piece and the pause lasts several times the progress timeout.
     raw_server server([](raw_connection& connection, int) {
         connection.read_request();
         connection.send(chunked_head + "3\r\nabc\r\n");
@@ -377,8 +378,9 @@
 
 namespace {
 
-// Answers the first request of the first connection, then closes on the second one unanswered.
-// Further connections are answered. Counts the bookings that arrived.
+// Answers the first request of the first connection and closes that connection on the second
+// request without an answer. Answers all requests on further connections. Counts the bookings
+// received.
 struct closing_server {
     raw_server server{[this](raw_connection& connection, int index) {
         connection.read_request();
@@ -396,10 +398,10 @@
 
 TEST(http_client, a_request_that_must_not_run_twice_is_never_sent_twice)
 {
-    // The caller sees `connection_lost` and knows that the booking may have run. A pooled
-    // connection takes the booking and is closed before any byte of an answer, as by an endpoint
-    // that crashes on it. Left alone, libcurl sends the booking once more on a fresh connection,
-    // POST or not.
+    // Guards against executing a request twice. A pooled connection receives the booking and is
+    // closed before any byte of an answer, as by an endpoint that crashes. By default, libcurl
+    // sends the request again on a new connection, also for POST. The caller must get
+    // `connection_lost` instead, since the booking may have run.
     closing_server closing;
     fetch_and_wait(*client, get(closing.server.url()), max_answer_bytes);
     http_request request = post(closing.server.url(), "booking");
@@ -439,9 +441,9 @@
 
 TEST(http_client, a_connection_without_acknowledgements_is_lost_before_the_first_byte_timeout)
 {
-    // The caller sees `connection_lost` within the acknowledgement's time, not after the 30 s that
-    // an answer may take to begin. The other end takes nothing, so the request stays
-    // unacknowledged, as behind something that has lost track of the connection.
+    // Guards against waiting 30 s for the first byte on a dead connection. The other end reads
+    // nothing, so the request stays unacknowledged, as when a device on the path has lost the state
+    // of the connection; the exchange must end after the acknowledgement timeout.
     std::atomic<bool> found{false};
     raw_server silent([&](raw_connection&, int) { wait_for(found); });
     http_client_settings settings;
@@ -477,8 +479,8 @@
     client->stop();
 }
 
-// The other end resets its connection at some step of its answer. The listener hears of it once, as
-// a lost connection, and the client goes on.
+// The other end resets its connection at one step of its answer. The listener gets one
+// `connection_lost`, and the client continues to work.
 TEST(http_client, a_reset_at_any_step_of_an_answer_is_a_lost_connection)
 {
     const std::vector<std::string> parts = {"", "HTTP/1.1 200 OK\r\nContent-Le", chunked_head,
--- a/adapters/test/http_inbound_test.cpp
+++ b/adapters/test/http_inbound_test.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-// Holds its requests as a relay does: a caller that has gone is dropped at once. Notes whether it
-// was called in the middle of a call of its own into an exchange.
+// Holds its requests as a relay does and releases a request when its caller disconnects. Records
+// whether it was called from within one of its own calls into an exchange.
 class holding_listener final : public inbound_listener {
 public:
     void on_request(inbound_exchange_ptr exchange) override
@@ -45,7 +45,7 @@
         ++this->rooms;
     }
 
-    // Calls into the oldest request held.
+    // Calls into the oldest held request.
     void call_exchange(const std::function<void(inbound_exchange&)>& call)
     {
         this->inside = true;
@@ -55,7 +55,7 @@
 
     std::vector<inbound_exchange_ptr> held;
     std::vector<std::string> targets;
-    std::function<void()> on_each_request; // at each request
+    std::function<void()> on_each_request; // called for each request
     int gone = 0;
     int rooms = 0;
     bool called_inside = false;
@@ -66,7 +66,8 @@
     bool inside = false;
 };
 
-// In which the loop looks several times at its connections, and at the time that they have taken.
+// Times within which the loop polls its sockets several times, and checks the time limits of its
+// connections several times.
 constexpr milliseconds several_polls{20};
 constexpr milliseconds several_checks{700};
 
@@ -128,7 +129,7 @@
         return [this, count] { return this->listener.targets.size() == count; };
     }
 
-    // From the first look on.
+    // Measured from the first evaluation of the condition.
     std::function<bool()> has_passed(milliseconds time)
     {
         return [this, time, end = decision::instant()]() mutable {
@@ -142,8 +143,8 @@
         return [this] { return this->server->counts().open == 0; };
     }
 
-    // The caller leaves, by a reset or in order, and `call` is the first to meet it, after
-    // `before`. Then the loop runs until the connection is gone.
+    // The caller disconnects, by a reset or in order, after `before`, and `call` is the first to
+    // detect it. Then the loop runs until the connection is gone.
     void run_disconnect(bool by_reset, const std::function<void(inbound_exchange&)>& before,
                         const std::function<void(inbound_exchange&)>& call)
     {
@@ -162,14 +163,14 @@
     }
 };
 
-// The caller resets its connection, and the answer's send is the first to meet it. The listener
-// was told in the middle of its own call, dropped the request, and the call went on with freed
-// memory: the process died with all its streams.
+// Guards against a use after free: the send of an answer detected a reset, the listener was
+// notified from within its own call and released the request, and the call continued with freed
+// memory.
 TEST(http_inbound, a_reset_found_by_a_full_answer_is_not_reported)
 {
     this->run_disconnect(
         true, [](auto& /*exchange*/) {}, answer);
-    CHECK_EQUAL(0, this->listener.gone); // its answer had ended
+    CHECK_EQUAL(0, this->listener.gone); // the answer had already ended
 }
 
 TEST(http_inbound, a_reset_found_by_a_head_is_reported_after_the_call)
@@ -229,7 +230,7 @@
 }
 
 // The caller sends its second request before the first one's answer. The second reaches the
-// listener once it is done with the first, and both answers come in order.
+// listener after the first is answered, and both answers arrive in order.
 TEST(http_inbound, a_pipelined_request_is_processed_after_the_call_that_answers_the_previous_one)
 {
     loop_script script(this->loop);
@@ -264,8 +265,8 @@
     CHECK_EQUAL(1, this->listener.targets.size());
 }
 
-// Idle connections are closed in the same moment in which an answer makes room for a request that
-// has already come. That request is under way, and is answered.
+// Idle connections are closed at the moment in which an answer lets the next pipelined request
+// proceed. That request is in progress and must be answered.
 TEST(http_inbound, a_pipelined_request_is_not_idle)
 {
     loop_script script(this->loop);
@@ -280,9 +281,9 @@
     CHECK_TRUE(script.run());
 }
 
-// A router that stops closes idle connections at each tick. A whole request had come on one of them
-// and not been read yet; the connection counted as idle, and the request was read and thrown away.
-// Its caller got nothing, and could not know whether it had run.
+// Guards against losing a request during shutdown. A complete request had arrived but was not read
+// yet when idle connections were closed; it was read and discarded, and its caller could not know
+// whether it had run.
 TEST(http_inbound, a_connection_with_an_unread_request_is_not_idle)
 {
     loop_script script(this->loop);
@@ -300,11 +301,9 @@
     CHECK_FALSE(this->listener.called_inside);
 }
 
-// A caller uses its open connection again within the time that it may, and the connection is closed
-// without an answer. Its request came while the router was busy for seconds with something else, as
-// with a large configuration; the look for connections that had been idle for too long was the next
-// thing that it did, and it read the clock, not the socket. The bytes were found after the close,
-// and counted.
+// Guards against closing a connection as idle although its next request arrived in time. The
+// request arrived while the loop was busy for seconds, as with a large configuration, and the
+// following idle check used the clock before the socket was read.
 TEST(http_inbound, a_request_that_arrives_while_the_loop_is_busy_is_answered)
 {
     constexpr milliseconds idle_time{1000};
@@ -331,8 +330,8 @@
     STRCMP_EQUAL("/second", this->listener.targets.back().c_str());
 }
 
-// A caller sends its next request just when the time is up that it was told, and gets no answer:
-// its request and the close crossed on the way.
+// Guards against losing a request that is sent just when the announced idle time ends: the request
+// and the close crossed in transit.
 TEST(http_inbound, a_connection_is_kept_longer_than_the_announced_idle_time)
 {
     constexpr milliseconds idle_time{50};
@@ -369,7 +368,7 @@
     CHECK_EQUAL(1, this->server->counts().closed_as_idle);
 }
 
-// The balancer has just opened the connection; its first request is on the way.
+// A load balancer has just opened the connection, and its first request is in transit.
 TEST(http_inbound, a_new_connection_is_not_idle)
 {
     loop_script script(this->loop);
@@ -395,10 +394,11 @@
     CHECK_TRUE(script.run());
 }
 
-// What a caller sends on a connection that was closed a moment ago is lost; the server counts it.
+// Bytes received on a connection that was closed a moment ago are lost; the server counts such
+// connections.
 TEST(http_inbound, a_request_on_a_connection_closed_as_idle_is_counted)
 {
-    IGNORE_ALL_LEAKS_IN_TEST(); // the log is made with its first line, and kept
+    IGNORE_ALL_LEAKS_IN_TEST(); // the log is created with its first line and kept
     loop_script script(this->loop);
     this->caller->send(request("/first"));
     script.when(this->has_requests(1), [this] { this->listener.call_exchange(answer); })
@@ -411,8 +411,7 @@
     CHECK_EQUAL(1, this->listener.targets.size());
 }
 
-// A listener that answers and aborts as soon as it hears of a request, while its bytes are still
-// being taken.
+// The listener aborts the request in `on_request`, while received bytes are still being processed.
 TEST(http_inbound, a_connection_aborted_while_its_bytes_are_processed_processes_no_more)
 {
     this->listener.on_each_request = [this] { this->listener.held.back()->abort(); };
@@ -446,7 +445,7 @@
     CHECK_FALSE(this->caller->has(std::string(last_chunk)));
 }
 
-// A head that does not come to its end costs its connection, not its server.
+// An incomplete head costs only its own connection.
 TEST(http_inbound, an_incomplete_head_is_refused_after_its_time)
 {
     inbound_limits limits;
@@ -460,8 +459,8 @@
     CHECK_TRUE(script.run());
 }
 
-// A caller's head is half there when the operator shortens the time for heads. What has begun keeps
-// the time that it began with: the caller was answered 408 for a request that came in good time.
+// Guards against answering 408 to a head that arrived in time: the operator shortened the head time
+// while a part of the head had been received. A message keeps the limit with which it began.
 TEST(http_inbound, a_shorter_head_time_does_not_refuse_a_head_that_has_begun)
 {
     inbound_limits shorter;
@@ -476,8 +475,8 @@
     CHECK_TRUE(script.run());
 }
 
-// The caller's body is half there when the operator lowers the bound of bodies. The answer was 413,
-// which no caller repeats, for a body that was allowed when its head was taken.
+// Guards against answering 413, which callers do not retry, for a body that was allowed when its
+// head was received: the operator lowered the body limit in between.
 TEST(http_inbound, a_lower_body_limit_does_not_refuse_a_body_that_has_begun)
 {
     inbound_limits lower;
@@ -497,8 +496,8 @@
     CHECK_TRUE(script.run());
 }
 
-// The caller's connection rests between two requests when the operator shortens that rest. The
-// caller was promised the longer one, and sends its next request within it.
+// Guards against closing an idle connection early when the operator shortens the idle time. The
+// caller relies on the longer time in force when the connection became idle.
 TEST(http_inbound, a_shorter_idle_time_does_not_close_a_connection_that_is_already_idle)
 {
     inbound_limits shorter;
@@ -517,8 +516,8 @@
     CHECK_TRUE(script.run());
 }
 
-// The bound of heads is raised and lowered while a connection stands. The caller is answered by the
-// bound that is in force when its request begins; it was the one at which it had connected.
+// Guards against applying the head limit in force when the connection was opened. The limit in
+// force when a request begins applies.
 TEST(http_inbound, a_changed_head_limit_applies_to_the_next_request_of_an_open_connection)
 {
     const auto long_request =
@@ -547,7 +546,7 @@
     CHECK_TRUE(script.run());
 }
 
-// The caller takes nothing of a long answer, and resets while the rest of it waits.
+// The caller reads nothing of a long answer and resets the connection while the rest is unsent.
 TEST(http_inbound, a_reset_while_bytes_are_unsent_is_reported_once)
 {
     loop_script script(this->loop);
@@ -568,8 +567,7 @@
     CHECK_EQUAL(0, this->listener.rooms);
 }
 
-// The process ends between a send that met a reset and the moment in which its listener would have
-// been told.
+// The server is destroyed after a send detected a reset and before its listener is notified.
 TEST(http_inbound, a_server_may_be_destroyed_before_a_disconnect_is_reported)
 {
     loop_script script(this->loop);
@@ -580,5 +578,5 @@
     this->listener.call_exchange(begin);
     this->server.reset();
     CHECK_EQUAL(0, this->listener.gone);
-    this->listener.call_exchange(write_twice); // reaches nobody
+    this->listener.call_exchange(write_twice); // has no effect
 }
--- a/adapters/test/http_message_test.cpp
+++ b/adapters/test/http_message_test.cpp
@@ -30,7 +30,7 @@
 
 constexpr std::size_t max_head = 1024;
 
-// Feeds all bytes, message after message, until a fault.
+// Feeds all bytes, message by message, until a fault.
 framing_fault feed_all(http_reader& reader, std::string_view bytes)
 {
     while (!bytes.empty() && reader.fault() == framing_fault::none) {
@@ -110,8 +110,8 @@
     CHECK_TRUE(framing_fault::truncated == reader.fault());
 }
 
-// A second request hidden in a gap between two readings of the first one would reach an endpoint
-// without a route or a key. Each of these forms has such a gap, so none may be passed on.
+// Guards against request smuggling: a second request hidden in ambiguous framing would reach an
+// endpoint without a route or an API key. Each of these forms is ambiguous and must be refused.
 TEST(http_message, refuses_messages_with_ambiguous_framing)
 {
     const std::vector<std::string> heads = {
@@ -139,8 +139,8 @@
     CHECK_TRUE(framing_fault::head_too_long == fault_of_request(head + "\r\n\r\n"));
 }
 
-// The last bytes of a head may come on their own. A head that is as long as allowed was taken from
-// one packet and refused from two.
+// Guards against refusing a head of exactly the maximum length when its last bytes arrive in a
+// separate packet.
 TEST(http_message, a_head_as_long_as_allowed_is_read_however_it_is_split)
 {
     std::string head = "GET / HTTP/1.1\r\nHost: h\r\nX: ";
--- a/adapters/test/http_outbound_test.cpp
+++ b/adapters/test/http_outbound_test.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-// An endpoint in a script: each connection is answered with the bytes given for it.
+// A scripted endpoint that sends the next configured answer for each request.
 class scripted_endpoint final : public socket_listener {
 public:
     explicit scripted_endpoint(event_loop& runs_on)
@@ -89,7 +89,7 @@
     std::vector<std::unique_ptr<connection>> connections;
 };
 
-// Notes what an exchange brings, and takes or skips heads as told.
+// Records the events of an exchange. Skips heads with the field `Id: old` and accepts others.
 class recording_listener final : public outbound_listener {
 public:
     head_verdict on_head(const http_response_head& head) override
@@ -108,7 +108,7 @@
     std::optional<outbound_failure> broken;
 };
 
-// Cancels its own exchange in the middle of one of its functions, and says when it is destroyed.
+// Cancels its own exchange from within one of its functions, and records when it is destroyed.
 class cancelling_listener final : public outbound_listener {
 public:
     enum class moment { head, body, silence };
@@ -150,7 +150,7 @@
 private:
     void cancel_at(moment reached)
     {
-        auto& kept = this->seen; // still there should this object not be
+        auto& kept = this->seen; // remains valid if this object is destroyed
         if (reached == this->when) {
             kept.inside = true;
             this->client.cancel(this->exchange);
@@ -163,7 +163,7 @@
     observations& seen;
 };
 
-// Starts the next exchange as soon as the one that it hears of has ended.
+// Starts the next exchange as soon as its own has ended.
 class chaining_listener final : public outbound_listener {
 public:
     chaining_listener(http_outbound& of, outbound_target at, outbound_listener_ptr after)
@@ -180,7 +180,7 @@
     outbound_listener_ptr next;
 };
 
-// Starts the exchange again each time that it fails, up to a bound.
+// Starts the exchange again after each failure, up to a maximum.
 class retrying_listener final : public outbound_listener {
 public:
     retrying_listener(http_outbound& of, outbound_target at, int& tries)
@@ -236,12 +236,12 @@
         return listener;
     }
 
-    // A listener that cancels at the moment is destroyed, but not inside its own function, and
-    // hears no more.
+    // Checks that a listener that cancels at the moment is destroyed, but not from within its own
+    // function, and is not called again.
     void cancel_at(cancelling_listener::moment moment, const outbound_request& request = {})
     {
         auto* made = new cancelling_listener(*this->client, moment, this->observed);
-        // Here alone the connection holds the last reference, as it does for a relay.
+        // The connection holds the only reference to the listener, as it does for a relay.
         made->exchange = this->client->start(this->endpoint->target(), request, made);
         this->run_for(milliseconds(80));
         CHECK_TRUE(this->observed.destroyed);
@@ -264,7 +264,7 @@
     STRCMP_EQUAL("ok", seen->body.c_str());
 }
 
-// An endpoint answers an earlier request late, where the answer to ours is due.
+// An endpoint sends the late answer to an earlier request before the expected one.
 TEST(http_outbound, skips_an_answer_to_another_request)
 {
     this->endpoint->answers = {"HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\nbad" +
@@ -297,9 +297,9 @@
     CHECK_TRUE(this->ask(request)->broken->why == outbound_fault::silent);
 }
 
-// An endpoint answers in time, and its request is given up as silent. The answer came while the
-// router was busy with something else for longer than the endpoint may be silent; the timer of that
-// silence ran next, before the socket was read.
+// Guards against giving up a request as silent although its answer arrived in time. The answer
+// arrived while the loop was blocked for longer than the timeout, and the timer ran before the
+// socket was read.
 TEST(http_outbound, an_answer_that_arrived_while_the_loop_was_busy_is_not_silence)
 {
     constexpr milliseconds answer_timeout{1000};
@@ -343,8 +343,8 @@
     CHECK_TRUE(listener->broken->why == outbound_fault::not_connected);
 }
 
-// A relay cancels a run from within the call that brings its bytes, as at a gap in a stream. The
-// listener was destroyed in the middle of its own function, which then went on without an object.
+// Guards against a use after free: a relay cancels a run from within `on_body`, as at a gap in a
+// stream, and the listener was destroyed in the middle of that function.
 TEST(http_outbound, a_listener_that_cancels_in_on_body_outlives_the_call)
 {
     this->endpoint->answers = {answer};
@@ -375,7 +375,7 @@
     CHECK_EQUAL(1, this->endpoint->accepted());
 }
 
-// Nobody listens at the endpoint, which is known at once; the caller leaves before it is told.
+// The connection fails immediately, and the exchange is cancelled before the failure is reported.
 TEST(http_outbound, an_exchange_cancelled_before_its_failure_is_reported_reports_nothing)
 {
     auto target = this->endpoint->target();
@@ -387,7 +387,7 @@
     CHECK_EQUAL(0, this->client->counts().open);
 }
 
-// The client ends with exchanges of which nobody has been told yet.
+// The client is destroyed while failures have not been reported yet.
 TEST(http_outbound, a_client_may_be_destroyed_before_failures_are_reported)
 {
     auto target = this->endpoint->target();
@@ -400,8 +400,8 @@
     CHECK_FALSE(listener->broken.has_value());
 }
 
-// The store cannot be connected to, which is known at once, and each failed call leads to the next
-// one. Whatever else the loop has to do is done in between.
+// Guards against starving the loop: connections to the store fail immediately, and each failed call
+// starts the next one. Other work of the loop must run in between.
 TEST(http_outbound, exchanges_that_fail_at_start_do_not_starve_the_loop)
 {
     auto target = this->endpoint->target();
--- a/adapters/test/property.hpp
+++ b/adapters/test/property.hpp
@@ -10,9 +10,9 @@
 
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
-// Whether a property holds in RapidCheck's 100 cases; a failure prints the seed to replay it with.
-// RapidCheck keeps its contexts from the first case on, which CppUTest would count as a leak of
-// the test that happens to run first.
+// Runs RapidCheck's 100 cases and returns whether the property holds; a failure prints the seed to
+// replay it with. RapidCheck keeps contexts from its first case on, which CppUTest would report as
+// a leak of the test that runs first.
 template <typename Property>
 bool holds(const std::string& description, Property&& property)
 {
--- a/adapters/test/raw_server.hpp
+++ b/adapters/test/raw_server.hpp
@@ -50,7 +50,7 @@
 inline int connect_to_loopback(std::uint16_t port)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const timeval receive_timeout{20, 0}; // a test that waits in vain goes on and fails
+    const timeval receive_timeout{20, 0}; // lets a test that gets no data fail instead of hang
     setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
     const sockaddr_in address = loopback(port);
     [[maybe_unused]] const int connected =
@@ -58,12 +58,12 @@
     return socket;
 }
 
-// The server's end of one connection, written and read byte by byte as a test wants it.
+// The server's end of one connection, read and written byte by byte by a test.
 class raw_connection {
 public:
     explicit raw_connection(int connected) : socket(connected) {}
 
-    // One request with its body; empty when the other end closed.
+    // Reads one request with its body; empty when the other end closed.
     std::string read_request()
     {
         std::string text;
@@ -83,7 +83,7 @@
         return text;
     }
 
-    // False when the other end has closed.
+    // Returns false when the other end has closed.
     bool send(std::string_view text) const
     {
         return ::send(this->socket, text.data(), text.size(), MSG_NOSIGNAL) >= 0;
@@ -95,7 +95,7 @@
                    std::to_string(body.size()) + "\r\n\r\n" + std::string(body));
     }
 
-    // All bytes until the other end has closed.
+    // Reads all bytes until the other end has closed.
     [[nodiscard]] std::string read_until_closed() const
     {
         std::string text;
@@ -111,8 +111,8 @@
 
     void shut() const { shutdown(this->socket, SHUT_RDWR); }
 
-    // The other end's next use of the connection fails. The number stays taken until its owner
-    // closes it.
+    // Resets the connection, so that the other end's next use of it fails. The descriptor number
+    // stays in use until its owner closes it.
     void reset() const
     {
         const linger zero_linger{1, 0};
@@ -133,8 +133,7 @@
     int socket;
 };
 
-// Accepts on 127.0.0.1 and holds one scripted conversation for each connection, on a thread of its
-// own.
+// Accepts connections on 127.0.0.1 and runs the script for each of them, on a separate thread.
 class raw_server {
 public:
     using conversation = std::function<void(raw_connection& connection, int index)>;
@@ -153,7 +152,7 @@
         close(this->listener);
     }
 
-    // Closes all connections and waits for their conversations.
+    // Closes all connections and waits for their scripts to return.
     void finish()
     {
         if (!this->acceptor.joinable()) {
@@ -207,10 +206,10 @@
     std::mutex mutex;
     std::list<int> sockets;
     std::list<std::thread> threads;
-    std::thread acceptor; // last: it uses all of the above
+    std::thread acceptor; // last, because it uses all members above
 };
 
-// Waits, up to a generous bound, until the condition holds; says whether it does.
+// Waits up to 20 s until the condition holds; returns whether it does.
 template <class Condition>
 bool eventually(Condition condition)
 {
@@ -224,7 +223,7 @@
     return true;
 }
 
-// Holds a conversation open, without a bound of its own, until the test has what it waits for.
+// Blocks a script, without a timeout of its own, until the test sets the flag.
 inline void wait_for(const std::atomic<bool>& flag)
 {
     while (!flag) {
