--- a/adapters/src/http_client.cpp
+++ b/adapters/src/http_client.cpp
@@ -28,8 +28,7 @@
 {
     static const CURLcode initialized = curl_global_init(CURL_GLOBAL_DEFAULT);
     if (initialized != CURLE_OK) {
-        throw std::system_error(std::make_error_code(std::errc::not_enough_memory),
-                                "cannot initialize libcurl");
+        throw std::system_error(std::make_error_code(std::errc::not_enough_memory), "libcurl");
     }
 }
 
@@ -38,7 +37,7 @@
 // sockets, not of open ones, as it would with curl_multi_poll.
 class curl_http_client : public http_client {
 public:
-    explicit curl_http_client(const http_client_settings& wanted);
+    explicit curl_http_client(const http_client_settings& client_settings);
     ~curl_http_client() override { this->shut_down(); }
     curl_http_client(const curl_http_client&) = delete;
     curl_http_client& operator=(const curl_http_client&) = delete;
@@ -85,12 +84,11 @@
     std::thread worker;
 };
 
-curl_http_client::curl_http_client(const http_client_settings& wanted)
-    : settings(wanted), multi(curl_multi_init())
+curl_http_client::curl_http_client(const http_client_settings& client_settings)
+    : settings(client_settings), multi(curl_multi_init())
 {
     if (!this->multi) {
-        throw std::system_error(std::make_error_code(std::errc::not_enough_memory),
-                                "cannot initialize libcurl");
+        throw std::system_error(std::make_error_code(std::errc::not_enough_memory), "libcurl");
     }
     curl_multi_setopt(this->multi.get(), CURLMOPT_SOCKETFUNCTION, &curl_http_client::on_socket);
     curl_multi_setopt(this->multi.get(), CURLMOPT_SOCKETDATA, this);
--- a/adapters/src/http_exchange.cpp
+++ b/adapters/src/http_exchange.cpp
@@ -80,9 +80,10 @@
 
 } // namespace
 
-http_exchange::http_exchange(exchange_number number, http_request wanted,
-                             boost::intrusive_ptr<http_listener> receiver, deadline_index& index)
-    : own_number(number), request(std::move(wanted)), listener(std::move(receiver)),
+http_exchange::http_exchange(exchange_number number, http_request new_request,
+                             boost::intrusive_ptr<http_listener> new_listener,
+                             deadline_index& index)
+    : own_number(number), request(std::move(new_request)), listener(std::move(new_listener)),
       deadlines(index), started(std::chrono::steady_clock::now()), last_progress(started)
 {}
 
--- a/adapters/src/http_fetch.cpp
+++ b/adapters/src/http_fetch.cpp
@@ -48,7 +48,7 @@
 {
     std::promise<http_answer> answer;
     fetch(client, std::move(request), max_body,
-          [&answer](const http_answer& whole) { answer.set_value(whole); });
+          [&answer](const http_answer& received) { answer.set_value(received); });
     return answer.get_future().get();
 }
 
--- a/adapters/src/http_inbound.cpp
+++ b/adapters/src/http_inbound.cpp
@@ -17,9 +17,9 @@
                              public inbound_socket_owner,
                              public socket_listener {
 public:
-    inbound_server(event_loop& runs_on, const std::string& address, std::uint16_t port,
+    inbound_server(event_loop& target_loop, const std::string& address, std::uint16_t port,
                    std::size_t connection_limit, inbound_listener& new_listener)
-        : events(runs_on), requests(new_listener), max_connections(connection_limit),
+        : events(target_loop), requests(new_listener), max_connections(connection_limit),
           acceptor(tcp_socket::listen(address, port))
     {
         this->events.watch(this->acceptor.get(), *this, true, false);
--- a/adapters/src/http_message.cpp
+++ b/adapters/src/http_message.cpp
@@ -172,11 +172,12 @@
 
 class http_reader::state {
 public:
-    state(http_reader_kind what, http_message_listener& told, std::size_t head_bound)
-        : kind(what), listener(told), max_head(head_bound)
+    state(http_reader_kind reader_kind, http_message_listener& new_listener,
+          std::size_t max_head_bytes)
+        : kind(reader_kind), listener(new_listener), max_head(max_head_bytes)
     {
         http_parser_init(&this->parser,
-                         what == http_reader_kind::requests ? HTTP_REQUEST : HTTP_RESPONSE);
+                         reader_kind == http_reader_kind::requests ? HTTP_REQUEST : HTTP_RESPONSE);
         this->parser.data = this;
     }
 
@@ -287,15 +288,15 @@
 const http_parser_settings& http_reader::state::callbacks()
 {
     static const http_parser_settings table = [] {
-        http_parser_settings made;
-        http_parser_settings_init(&made);
-        made.on_url = on_url;
-        made.on_header_field = on_name;
-        made.on_header_value = on_value;
-        made.on_headers_complete = on_head;
-        made.on_body = on_body;
-        made.on_message_complete = on_end;
-        return made;
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_url = on_url;
+        settings.on_header_field = on_name;
+        settings.on_header_value = on_value;
+        settings.on_headers_complete = on_head;
+        settings.on_body = on_body;
+        settings.on_message_complete = on_end;
+        return settings;
     }();
     return table;
 }
--- a/adapters/src/http_outbound.cpp
+++ b/adapters/src/http_outbound.cpp
@@ -13,8 +13,8 @@
 
 class outbound_client final : public http_outbound, public outbound_socket_owner {
 public:
-    outbound_client(event_loop& runs_on, const http_outbound_settings& settings)
-        : events(runs_on), configured(settings)
+    outbound_client(event_loop& target_loop, const http_outbound_settings& settings)
+        : events(target_loop), configured(settings)
     {}
 
     ~outbound_client() override { this->events.cancel(this->sweep); }
@@ -102,11 +102,11 @@
     while (found == nullptr && !pool->second.empty()) {
         const auto last = pool->second.back();
         pool->second.pop_back();
-        const auto known = this->connections.find(last.connection);
-        if (known != this->connections.end() && this->events.now() < last.until) {
-            found = known->second.get();
-        } else if (known != this->connections.end()) {
-            known->second->cancel();
+        const auto entry = this->connections.find(last.connection);
+        if (entry != this->connections.end() && this->events.now() < last.until) {
+            found = entry->second.get();
+        } else if (entry != this->connections.end()) {
+            entry->second->cancel();
         }
     }
     if (pool->second.empty()) {
@@ -123,9 +123,9 @@
                              pool.front().until <= this->events.now())) {
         const auto oldest = pool.front();
         pool.pop_front();
-        const auto known = this->connections.find(oldest.connection);
-        if (known != this->connections.end()) {
-            known->second->cancel();
+        const auto entry = this->connections.find(oldest.connection);
+        if (entry != this->connections.end()) {
+            entry->second->cancel();
         }
     }
 }
@@ -181,9 +181,9 @@
     const auto pool_connections = std::move(found->second);
     this->idle.erase(found);
     for (const auto& one : pool_connections) {
-        const auto known = this->connections.find(one.connection);
-        if (known != this->connections.end() && known->second->exchange() == 0) {
-            known->second->cancel();
+        const auto entry = this->connections.find(one.connection);
+        if (entry != this->connections.end() && entry->second->exchange() == 0) {
+            entry->second->cancel();
         }
     }
 }
--- a/adapters/src/poller.cpp
+++ b/adapters/src/poller.cpp
@@ -36,7 +36,7 @@
     : epoll(epoll_create1(EPOLL_CLOEXEC)), wake_event(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))
 {
     if (!this->watch(this->wake_event, true, false)) {
-        throw_last_error("cannot create the epoll instance");
+        throw_last_error("epoll");
     }
 }
 
--- a/adapters/test/event_loop_test.cpp
+++ b/adapters/test/event_loop_test.cpp
@@ -25,8 +25,8 @@
 // Reads its socket, records the loop's time, and then blocks the loop.
 class slow_reader final : public adapters::socket_listener {
 public:
-    slow_reader(adapters::event_loop& runs_on, int from, milliseconds works)
-        : loop(runs_on), socket(from), work(works)
+    slow_reader(adapters::event_loop& target_loop, int from, milliseconds works)
+        : loop(target_loop), socket(from), work(works)
     {}
 
     void on_ready(bool /*readable*/, bool /*writable*/, bool /*failed*/) override
--- a/adapters/test/http_client_test.cpp
+++ b/adapters/test/http_client_test.cpp
@@ -260,7 +260,7 @@
         connection.wait_until_closed();
     });
     http_request request = get(server.url());
-    request.progress_timeout = milliseconds(1000); // well under the 1.5 s of the whole answer
+    request.progress_timeout = milliseconds(1000); // below the 1.5 s that the complete answer takes
     const http_answer answer = fetch_and_wait(*client, request, max_answer_bytes);
     CHECK_EQUAL(std::error_code(), answer.result.error);
     STRCMP_EQUAL("xxxxxxxxxxxxxxx", answer.body.c_str());
@@ -444,15 +444,16 @@
     // Guards against waiting 30 s for the first byte on a dead connection. The other end reads
     // nothing, so the request stays unacknowledged, as when a device on the path has lost the state
     // of the connection; the exchange must end after the acknowledgement timeout.
-    std::atomic<bool> found{false};
-    raw_server silent([&](raw_connection&, int) { wait_for(found); });
+    std::atomic<bool> test_done{false};
+    raw_server stalled_server([&](raw_connection&, int) { wait_for(test_done); });
     http_client_settings settings;
     settings.unacknowledged_timeout = milliseconds(300);
-    const auto impatient = make_http_client(settings);
-    http_request request = post(silent.url(), std::string(32U << 20U, 'x'));
+    const auto short_timeout_client = make_http_client(settings);
+    http_request request = post(stalled_server.url(), std::string(32U << 20U, 'x'));
     request.may_resend = false;
-    const http_result result = fetch_and_wait(*impatient, request, max_answer_bytes).result;
-    found = true;
+    const http_result result =
+        fetch_and_wait(*short_timeout_client, request, max_answer_bytes).result;
+    test_done = true;
     CHECK_EQUAL(make_error_code(http_error::connection_lost), result.error);
 }
 
@@ -504,18 +505,19 @@
 TEST(http_client, a_listener_may_cancel_and_start_exchanges_from_within_its_functions)
 {
     raw_server others(echo);
-    std::atomic<bool> known{false};
-    raw_server server([&known](raw_connection& connection, int /*index*/) {
+    std::atomic<bool> exchange_known{false};
+    raw_server server([&exchange_known](raw_connection& connection, int /*index*/) {
         connection.read_request();
-        wait_for(known);
+        wait_for(exchange_known);
         connection.send(chunked_head + "3\r\none\r\n");
         connection.wait_until_closed();
     });
-    boost::intrusive_ptr<reentrant_listener> meddler(new reentrant_listener(*client, others.url()));
-    meddler->exchange = client->start(get(server.url()), meddler);
-    known = true;
-    CHECK_EQUAL(make_error_code(http_error::cancelled), meddler->wait().error);
-    for (const auto& one : meddler->started) {
+    boost::intrusive_ptr<reentrant_listener> reentrant(
+        new reentrant_listener(*client, others.url()));
+    reentrant->exchange = client->start(get(server.url()), reentrant);
+    exchange_known = true;
+    CHECK_EQUAL(make_error_code(http_error::cancelled), reentrant->wait().error);
+    for (const auto& one : reentrant->started) {
         LONGS_EQUAL(200, one->wait().status);
     }
 }
--- a/adapters/test/http_inbound_test.cpp
+++ b/adapters/test/http_inbound_test.cpp
@@ -36,13 +36,13 @@
     void on_caller_gone(inbound_exchange& exchange) override
     {
         this->record_call();
-        ++this->gone;
+        ++this->disconnects;
         std::erase_if(this->held, [&exchange](const auto& one) { return one.get() == &exchange; });
     }
     void on_flushed(inbound_exchange& /*exchange*/) override
     {
         this->record_call();
-        ++this->rooms;
+        ++this->flushes;
     }
 
     // Calls into the oldest held request.
@@ -56,8 +56,8 @@
     std::vector<inbound_exchange_ptr> held;
     std::vector<std::string> targets;
     std::function<void()> on_each_request; // called for each request
-    int gone = 0;
-    int rooms = 0;
+    int disconnects = 0;
+    int flushes = 0;
     bool called_inside = false;
 
 private:
@@ -170,33 +170,33 @@
 {
     this->run_disconnect(
         true, [](auto& /*exchange*/) {}, answer);
-    CHECK_EQUAL(0, this->listener.gone); // the answer had already ended
+    CHECK_EQUAL(0, this->listener.disconnects); // the answer had already ended
 }
 
 TEST(http_inbound, a_reset_found_by_a_head_is_reported_after_the_call)
 {
     this->run_disconnect(
         true, [](auto& /*exchange*/) {}, begin);
-    CHECK_EQUAL(1, this->listener.gone);
+    CHECK_EQUAL(1, this->listener.disconnects);
     CHECK_TRUE(this->listener.held.empty());
 }
 
 TEST(http_inbound, a_reset_found_between_pieces_is_reported_after_the_call)
 {
     this->run_disconnect(true, begin, write_twice);
-    CHECK_EQUAL(1, this->listener.gone);
+    CHECK_EQUAL(1, this->listener.disconnects);
 }
 
 TEST(http_inbound, a_reset_found_by_the_end_is_not_reported)
 {
     this->run_disconnect(true, begin, end);
-    CHECK_EQUAL(0, this->listener.gone);
+    CHECK_EQUAL(0, this->listener.disconnects);
 }
 
 TEST(http_inbound, a_reset_before_an_abort_is_not_reported)
 {
     this->run_disconnect(true, begin, abort_exchange);
-    CHECK_EQUAL(0, this->listener.gone);
+    CHECK_EQUAL(0, this->listener.disconnects);
 }
 
 TEST(http_inbound, an_abort_after_a_piece_that_found_a_reset_cancels_the_report)
@@ -205,27 +205,27 @@
         exchange.write("lost");
         exchange.abort();
     });
-    CHECK_EQUAL(0, this->listener.gone);
+    CHECK_EQUAL(0, this->listener.disconnects);
 }
 
 TEST(http_inbound, an_orderly_close_during_an_answer_is_reported_once)
 {
     this->run_disconnect(false, begin, write_twice);
-    CHECK_EQUAL(1, this->listener.gone);
+    CHECK_EQUAL(1, this->listener.disconnects);
 }
 
 TEST(http_inbound, an_orderly_close_before_a_full_answer_is_not_reported)
 {
     this->run_disconnect(
         false, [](auto& /*exchange*/) {}, answer);
-    CHECK_EQUAL(0, this->listener.gone);
+    CHECK_EQUAL(0, this->listener.disconnects);
 }
 
 TEST(http_inbound, a_caller_that_disconnects_while_nothing_is_sent_is_reported)
 {
     this->run_disconnect(
         true, [](auto& /*exchange*/) {}, [](auto& /*exchange*/) {});
-    CHECK_EQUAL(1, this->listener.gone);
+    CHECK_EQUAL(1, this->listener.disconnects);
     CHECK_TRUE(this->listener.held.empty());
 }
 
@@ -563,8 +563,8 @@
               })
         .until(this->all_closed());
     CHECK_TRUE(script.run());
-    CHECK_EQUAL(1, this->listener.gone);
-    CHECK_EQUAL(0, this->listener.rooms);
+    CHECK_EQUAL(1, this->listener.disconnects);
+    CHECK_EQUAL(0, this->listener.flushes);
 }
 
 // The server is destroyed after a send detected a reset and before its listener is notified.
@@ -577,6 +577,6 @@
     this->caller->reset();
     this->listener.call_exchange(begin);
     this->server.reset();
-    CHECK_EQUAL(0, this->listener.gone);
+    CHECK_EQUAL(0, this->listener.disconnects);
     this->listener.call_exchange(write_twice); // has no effect
 }
--- a/adapters/test/http_outbound_test.cpp
+++ b/adapters/test/http_outbound_test.cpp
@@ -25,8 +25,8 @@
 // A scripted endpoint that sends the next configured answer for each request.
 class scripted_endpoint final : public socket_listener {
 public:
-    explicit scripted_endpoint(event_loop& runs_on)
-        : loop(runs_on), acceptor(tcp_socket::listen("127.0.0.1", 0))
+    explicit scripted_endpoint(event_loop& target_loop)
+        : loop(target_loop), acceptor(tcp_socket::listen("127.0.0.1", 0))
     {
         this->loop.watch(this->acceptor.get(), *this, true, false);
     }
@@ -100,12 +100,12 @@
     }
     void on_body(std::string_view piece) override { this->body.append(piece); }
     void on_end() override { this->ended = true; }
-    void on_failure(const outbound_failure& how) override { this->broken = how; }
+    void on_failure(const outbound_failure& how) override { this->failure = how; }
 
     std::vector<int> statuses;
     std::string body;
     bool ended = false;
-    std::optional<outbound_failure> broken;
+    std::optional<outbound_failure> failure;
 };
 
 // Cancels its own exchange from within one of its functions, and records when it is destroyed.
@@ -120,8 +120,8 @@
         int ended = 0;
     };
 
-    cancelling_listener(http_outbound& of, moment chosen, observations& kept)
-        : client(of), when(chosen), seen(kept)
+    cancelling_listener(http_outbound& of, moment chosen, observations& record)
+        : client(of), when(chosen), seen(record)
     {}
     ~cancelling_listener() override
     {
@@ -150,11 +150,11 @@
 private:
     void cancel_at(moment reached)
     {
-        auto& kept = this->seen; // remains valid if this object is destroyed
+        auto& record = this->seen; // remains valid if this object is destroyed
         if (reached == this->when) {
-            kept.inside = true;
+            record.inside = true;
             this->client.cancel(this->exchange);
-            kept.inside = false;
+            record.inside = false;
         }
     }
 
@@ -280,21 +280,21 @@
     this->endpoint->closes = true;
     const auto seen = this->ask();
     CHECK_FALSE(seen->ended);
-    CHECK_TRUE(seen->broken->why == outbound_fault::connection_lost);
-    CHECK_TRUE(seen->broken->answer_began);
+    CHECK_TRUE(seen->failure->why == outbound_fault::connection_lost);
+    CHECK_TRUE(seen->failure->answer_began);
 }
 
 TEST(http_outbound, malformed_bytes_fail)
 {
     this->endpoint->answers = {"garbage\r\n\r\n"};
-    CHECK_TRUE(this->ask()->broken->why == outbound_fault::malformed);
+    CHECK_TRUE(this->ask()->failure->why == outbound_fault::malformed);
 }
 
 TEST(http_outbound, silence_fails_after_the_answer_time)
 {
     outbound_request request;
     request.answer_time = milliseconds(20);
-    CHECK_TRUE(this->ask(request)->broken->why == outbound_fault::silent);
+    CHECK_TRUE(this->ask(request)->failure->why == outbound_fault::silent);
 }
 
 // Guards against giving up a request as silent although its answer arrived in time. The answer
@@ -327,9 +327,9 @@
                 this->client->start(this->endpoint->target(), other,
                                     collect_answer(1024, block_loop));
             })
-        .until([&waiting] { return waiting->ended || waiting->broken; });
+        .until([&waiting] { return waiting->ended || waiting->failure; });
     CHECK_TRUE(script.run());
-    CHECK_FALSE(waiting->broken.has_value());
+    CHECK_FALSE(waiting->failure.has_value());
     STRCMP_EQUAL("ok", waiting->body.c_str());
 }
 
@@ -340,7 +340,7 @@
     boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->start(target, {}, listener);
     this->run_for(milliseconds(50));
-    CHECK_TRUE(listener->broken->why == outbound_fault::not_connected);
+    CHECK_TRUE(listener->failure->why == outbound_fault::not_connected);
 }
 
 // Guards against a use after free: a relay cancels a run from within `on_body`, as at a gap in a
@@ -383,7 +383,7 @@
     boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->cancel(this->client->start(target, {}, listener));
     this->run_for(milliseconds(20));
-    CHECK_FALSE(listener->broken.has_value());
+    CHECK_FALSE(listener->failure.has_value());
     CHECK_EQUAL(0, this->client->counts().open);
 }
 
@@ -397,7 +397,7 @@
     this->client->cancel(this->client->start(target, {}, listener));
     this->client.reset();
     this->run_for(milliseconds(20));
-    CHECK_FALSE(listener->broken.has_value());
+    CHECK_FALSE(listener->failure.has_value());
 }
 
 // Guards against starving the loop: connections to the store fail immediately, and each failed call
