--- a/adapters/include/pearhaven/adapters/http_client.hpp
+++ b/adapters/include/pearhaven/adapters/http_client.hpp
@@ -23,7 +23,7 @@
     none = 0,
     connect_failed,     // no connection within the timeout; nothing was sent
     first_byte_timeout, // the request was sent, but no answer began in time
-    progress_timeout,   // the answer began, then stalled
+    progress_timeout,   // the answer began, then stalled: a connection fault is most likely
     total_timeout,
     connection_lost, // closed by the other end before the answer was complete
     cancelled,
@@ -54,8 +54,7 @@
     // instead.
     bool may_resend = true;
 
-    std::size_t max_body =
-        std::numeric_limits<std::size_t>::max(); // longer bodies count as malformed
+    std::size_t max_body = std::numeric_limits<std::size_t>::max(); // longer answers are malformed
 
     friend bool operator==(const http_request&, const http_request&) = default;
 };
--- a/adapters/include/pearhaven/adapters/http_inbound.hpp
+++ b/adapters/include/pearhaven/adapters/http_inbound.hpp
@@ -65,8 +65,7 @@
 struct inbound_limits {
     std::size_t head_bytes = 16U << 10U;
     std::size_t body_bytes = 4U << 20U;
-    decision::duration head_time =
-        std::chrono::seconds(3); // from the first byte of a head to its last
+    decision::duration head_time = std::chrono::seconds(3);  // from first to last byte of a head
     decision::duration idle_time = std::chrono::seconds(15); // between two requests
 
     // Extra time that an idle connection is kept open beyond the announced idle time. A request
@@ -83,8 +82,7 @@
     std::uint64_t refused_heads = 0;  // malformed or too long
     std::uint64_t unacknowledged = 0; // closed because the caller's host did not acknowledge
     std::uint64_t closed_as_idle = 0;
-    std::uint64_t sent_to_closed =
-        0; // of those: connections that received more bytes, which were lost
+    std::uint64_t sent_to_closed = 0; // of those: received further bytes, which were lost
     std::size_t open = 0;
 
     friend bool operator==(const inbound_counts&, const inbound_counts&) = default;
--- a/adapters/include/pearhaven/adapters/http_message.hpp
+++ b/adapters/include/pearhaven/adapters/http_message.hpp
@@ -37,8 +37,7 @@
     int status = 0;
     http_fields fields;
     bool keep_alive = true;
-    bool ends_with_connection =
-        false; // no length and no chunks: the body ends when the connection closes
+    bool ends_with_connection = false; // no length, no chunks: the body ends with the close
 
     friend bool operator==(const http_response_head&, const http_response_head&) = default;
 };
