--- a/adapters/src/inbound_socket.cpp
+++ b/adapters/src/inbound_socket.cpp
@@ -164,8 +164,8 @@
     }
 }
 
-// Neither the caller nor this end knows whether the lost bytes were a request, so the bytes
-// themselves are counted.
+// The caller of a request that is lost in this way gets no answer, and this end knows only that
+// bytes arrived.
 void inbound_socket::record_bytes_after_close()
 {
     if (std::exchange(this->closed_as_idle, false)) {
