--- a/adapters/src/event_loop.cpp
+++ b/adapters/src/event_loop.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-// Looks that tell of as many ready sockets as one look can, before what they leave out is no longer
-// waited for. Enough for all sockets that a process may have.
-constexpr std::size_t most_full_looks = 32;
+// How many polls in a row may return a full batch of ready sockets before `polled_until` advances
+// although sockets may have been left out. Enough for all sockets that a process may have.
+constexpr std::size_t max_consecutive_full_polls = 32;
 
 } // namespace
 
@@ -29,23 +29,23 @@
     void run_posted();
     void run_timers();
     void run_sockets();
-    void note_look(decision::instant looked_at);
+    void record_poll(decision::instant poll_started);
     [[nodiscard]] std::optional<std::chrono::nanoseconds>
     time_to_next_timer(decision::instant now) const;
 
     poller sockets;
     std::unordered_map<int, socket_listener*> listeners;
-    std::unordered_set<int> forgotten; // in the batch of events that is being run
+    std::unordered_set<int> forgotten; // sockets forgotten during the current batch of events
     std::map<std::pair<decision::instant, timer_number>, std::function<void()>> timers;
     std::unordered_map<timer_number, decision::instant> due;
-    std::map<timer_number, std::function<void()>> soon; // in the order in which they were asked for
+    std::map<timer_number, std::function<void()>> soon; // in the order of their creation
     timer_number last_timer = 0;
     decision::instant clock = read_clock();
-    decision::instant heard_until{}; // before the first look nothing has been heard
-    std::size_t full_looks = 0;      // in a row, after which more sockets may have been ready
-    std::string_view work;           // of the callback that is being run
-    decision::duration least_pause{};
-    std::function<void(const loop_pause&)> tell_pause;
+    decision::instant polled_until{};       // nothing has been read before the first poll
+    std::size_t consecutive_full_polls = 0; // polls in a row that filled the batch
+    std::string_view work;                  // name of the current work
+    decision::duration min_pause{};
+    std::function<void(const loop_pause&)> on_pause;
     std::atomic<bool> stopping{false};
     std::mutex posted_guard;
     std::vector<std::function<void()>> posted;
@@ -59,7 +59,7 @@
     }
 }
 
-// One reading of the clock ends a callback and begins the next one.
+// One clock reading ends a callback and begins the next one.
 template <typename Callback>
 void event_loop::state::run_callback(std::string_view kind, Callback&& callback)
 {
@@ -69,8 +69,8 @@
     const auto ended = read_clock();
     const auto took = ended - this->clock;
     this->clock = ended;
-    if (this->tell_pause && took >= this->least_pause) {
-        this->tell_pause({took, this->work});
+    if (this->on_pause && took >= this->min_pause) {
+        this->on_pause({took, this->work});
     }
 }
 
@@ -78,7 +78,7 @@
 {
     std::vector<std::function<void()>> tasks;
     {
-        const std::lock_guard<std::mutex> hold(this->posted_guard);
+        const std::lock_guard<std::mutex> lock(this->posted_guard);
         tasks.swap(this->posted);
     }
     for (const auto& task : tasks) {
@@ -88,8 +88,8 @@
 
 void event_loop::state::run_timers()
 {
-    // Those that became due since the sockets were looked at wait for the next turn.
-    const auto due_by = this->heard_until;
+    // Timers that became due after the poll wait for the next iteration.
+    const auto due_by = this->polled_until;
     while (!this->timers.empty() && this->timers.begin()->first.first <= due_by) {
         const auto node = this->timers.extract(this->timers.begin());
         this->due.erase(node.key().second);
@@ -108,10 +108,10 @@
 
 void event_loop::state::run_sockets()
 {
-    // Whatever came before the look began is in it. The moment after it says less: the process may
-    // have been halted in between.
-    const auto looked_at = read_clock();
-    const auto& ready = this->sockets.wait(this->time_to_next_timer(looked_at));
+    // Data that arrived before the poll began is included in its result. The time after the poll
+    // must not be used, because the process may have been stopped in between.
+    const auto poll_started = read_clock();
+    const auto& ready = this->sockets.wait(this->time_to_next_timer(poll_started));
     this->clock = read_clock();
     this->forgotten.clear();
     for (const auto& socket : ready) {
@@ -122,17 +122,18 @@
             });
         }
     }
-    this->note_look(looked_at);
+    this->record_poll(poll_started);
 }
 
-// The system tells of the ready sockets in turn, a bounded number at once. Sockets that are ready
-// all the time must not keep timers from running for ever.
-void event_loop::state::note_look(decision::instant looked_at)
+// The system returns the ready sockets in turn, a bounded number for each poll. Sockets that are
+// always ready must not keep timers from running forever.
+void event_loop::state::record_poll(decision::instant poll_started)
 {
-    const bool may_lack_some = this->sockets.was_full() && this->full_looks < most_full_looks;
-    this->full_looks = may_lack_some ? this->full_looks + 1 : 0;
-    if (!may_lack_some) {
-        this->heard_until = looked_at;
+    const bool may_be_incomplete =
+        this->sockets.was_full() && this->consecutive_full_polls < max_consecutive_full_polls;
+    this->consecutive_full_polls = may_be_incomplete ? this->consecutive_full_polls + 1 : 0;
+    if (!may_be_incomplete) {
+        this->polled_until = poll_started;
     }
 }
 
@@ -143,8 +144,8 @@
 void event_loop::watch(int socket, socket_listener& listener, bool readable, bool writable)
 {
     this->inner->listeners[socket] = &listener;
-    // The system refuses only when it is out of memory for the watch; the connection's own timers
-    // then end it.
+    // Watching fails only when the system is out of memory; the connection's own timeouts then end
+    // it.
     [[maybe_unused]] const bool watched = this->inner->sockets.watch(socket, readable, writable);
 }
 
@@ -192,27 +193,28 @@
     return this->inner->clock;
 }
 
-decision::instant event_loop::heard_until() const
+decision::instant event_loop::polled_until() const
 {
-    return this->inner->heard_until;
+    return this->inner->polled_until;
 }
 
 void event_loop::post(std::function<void()> task)
 {
     {
-        const std::lock_guard<std::mutex> hold(this->inner->posted_guard);
+        const std::lock_guard<std::mutex> lock(this->inner->posted_guard);
         this->inner->posted.push_back(std::move(task));
     }
     this->inner->sockets.wake();
 }
 
-void event_loop::watch_pauses(decision::duration least, std::function<void(const loop_pause&)> told)
+void event_loop::watch_pauses(decision::duration min_pause,
+                              std::function<void(const loop_pause&)> on_pause)
 {
-    this->inner->least_pause = least;
-    this->inner->tell_pause = std::move(told);
+    this->inner->min_pause = min_pause;
+    this->inner->on_pause = std::move(on_pause);
 }
 
-void event_loop::name_work(std::string_view what)
+void event_loop::set_work_name(std::string_view what)
 {
     this->inner->work = what;
 }
@@ -220,7 +222,7 @@
 void event_loop::run()
 {
     while (!this->inner->stopping) {
-        this->inner->run_soon(); // what was asked for outside of any callback
+        this->inner->run_soon(); // tasks added outside of any callback
         this->inner->run_sockets();
         this->inner->run_posted();
         this->inner->run_timers();
--- a/adapters/src/http_exchange.cpp
+++ b/adapters/src/http_exchange.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t max_head_bytes = 64U << 10U;
 
-// Small, since each open stream holds one; a piece of a token stream is far smaller still.
+// Small, because each open stream holds one buffer; pieces of a token stream are much smaller.
 constexpr long receive_buffer_bytes = 8L << 10U;
 
-// An idle connection older than this is not used again. Most servers keep one longer.
+// Idle connections older than this are not reused. Most servers keep idle connections longer.
 constexpr long max_idle_seconds = 30;
 
 constexpr std::array<std::string_view, 4> framing_fields = {"content-length", "transfer-encoding",
@@ -48,13 +48,13 @@
     });
 }
 
-// A line break inside a value would begin a field, or a request, of the value's author's choosing.
+// A line break inside a value would allow its author to inject a field or a request.
 bool is_field_value(std::string_view text)
 {
     return text.find_first_of(std::string_view("\r\n\0", 3)) == std::string_view::npos;
 }
 
-// libcurl drops a field that ends with its colon; it takes a semicolon for "present but empty".
+// libcurl removes a field that ends with its colon; a semicolon means "present but empty".
 std::string field_line(const std::string& name, std::string_view value)
 {
     std::string line = name;
@@ -80,9 +80,10 @@
 
 } // namespace
 
-http_exchange::http_exchange(exchange_number number, http_request wanted,
-                             boost::intrusive_ptr<http_listener> receiver, deadline_index& index)
-    : own_number(number), request(std::move(wanted)), listener(std::move(receiver)),
+http_exchange::http_exchange(exchange_number number, http_request new_request,
+                             boost::intrusive_ptr<http_listener> new_listener,
+                             deadline_index& index)
+    : own_number(number), request(std::move(new_request)), listener(std::move(new_listener)),
       deadlines(index), started(std::chrono::steady_clock::now()), last_progress(started)
 {}
 
@@ -155,7 +156,7 @@
 
 bool http_exchange::set_headers()
 {
-    // Fields that libcurl would add by itself: left out unless the caller names them below.
+    // Disables fields that libcurl would add by itself, unless the caller sets them below.
     bool complete = append(this->header_list, "Expect:");
     bool has_accept = false;
     bool has_content_type = false;
@@ -202,7 +203,7 @@
     return earliest;
 }
 
-http_error http_exchange::overdue(monotonic_time now) const
+http_error http_exchange::timeout_error(monotonic_time now) const
 {
     const auto total = this->request.total_timeout;
     if (total.count() > 0 && this->started + total <= now) {
@@ -229,21 +230,21 @@
     return curl_easy_pause(this->easy.get(), CURLPAUSE_CONT) == CURLE_OK;
 }
 
-http_error http_exchange::turn(CURLcode code) const
+http_error http_exchange::to_http_error(CURLcode code) const
 {
     switch (code) {
     case CURLE_OK:
         return http_error::none;
     case CURLE_URL_MALFORMAT:
     case CURLE_UNSUPPORTED_PROTOCOL:
-        return this->sendings == 0 ? http_error::invalid_request : http_error::malformed_answer;
+        return this->send_count == 0 ? http_error::invalid_request : http_error::malformed_answer;
     case CURLE_WEIRD_SERVER_REPLY:
     case CURLE_BAD_CONTENT_ENCODING:
         return http_error::malformed_answer;
     case CURLE_WRITE_ERROR:
         return this->too_large ? http_error::malformed_answer : http_error::connection_lost;
     default:
-        return this->sendings == 0 ? http_error::connect_failed : http_error::connection_lost;
+        return this->send_count == 0 ? http_error::connect_failed : http_error::connection_lost;
     }
 }
 
@@ -254,7 +255,7 @@
         result.error = error;
     }
     result.status = this->status;
-    result.request_sent = this->sendings > 0;
+    result.request_sent = this->send_count > 0;
     this->listener->on_end(result);
 }
 
@@ -267,18 +268,18 @@
     }
 }
 
-// libcurl calls this on a connection that stands, right before it writes the request, each time
-// that it writes it. It sends a request again on its own when a pooled connection closes without a
-// byte of an answer, whatever the method: the other end may have run it. The abort here keeps a
-// request that must not run twice from being sent twice.
+// libcurl calls this on an established connection before each time that it writes the request. When
+// a pooled connection closes without a byte of an answer, libcurl sends the request again on its
+// own, whatever the method, although the other end may have executed it. The abort prevents a
+// second send of a request that must not run twice.
 int http_exchange::on_sending(void* self, char* /*peer_ip*/, char* /*local_ip*/, int /*peer_port*/,
                               int /*local_port*/)
 {
     auto& exchange = *static_cast<http_exchange*>(self);
-    if (exchange.sendings > 0 && !exchange.request.may_resend) {
+    if (exchange.send_count > 0 && !exchange.request.may_resend) {
         return CURL_PREREQFUNC_ABORT;
     }
-    ++exchange.sendings;
+    ++exchange.send_count;
     exchange.enter(phase::awaiting_head);
     return CURL_PREREQFUNC_OK;
 }
@@ -288,10 +289,10 @@
 {
     const std::size_t length = size * count;
     auto& exchange = *static_cast<http_exchange*>(self);
-    return exchange.take_header_line({data, length}) ? length : 0;
+    return exchange.process_header_line({data, length}) ? length : 0;
 }
 
-bool http_exchange::take_header_line(std::string_view line)
+bool http_exchange::process_header_line(std::string_view line)
 {
     if (this->head_finished) {
         return true; // trailer fields of a chunked answer
@@ -312,12 +313,12 @@
         this->status = static_cast<int>(code);
         this->answer_headers.clear();
     } else {
-        this->take_field(line);
+        this->add_field(line);
     }
     return true;
 }
 
-void http_exchange::take_field(std::string_view line)
+void http_exchange::add_field(std::string_view line)
 {
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || colon == 0) {
@@ -331,7 +332,7 @@
 {
     constexpr int first_final_status = 200;
     if (this->status < first_final_status) {
-        return; // an interim answer; the final one follows
+        return; // an interim response; the final one follows
     }
     this->head_finished = true;
     this->last_progress = std::chrono::steady_clock::now();
--- a/adapters/src/http_message.cpp
+++ b/adapters/src/http_message.cpp
@@ -29,8 +29,8 @@
     return text;
 }
 
-// Whether a comma-separated list holds the word.
-bool lists(std::string_view list, std::string_view word)
+// Whether a comma-separated list contains the word, ignoring case.
+bool list_contains(std::string_view list, std::string_view word)
 {
     while (!list.empty()) {
         const auto comma = list.find(',');
@@ -60,7 +60,7 @@
     });
 }
 
-// Counts of the fields that frame a message.
+// Counts and validity of the fields that frame a message.
 struct framing_fields {
     int lengths = 0;
     int encodings = 0;
@@ -85,8 +85,8 @@
     }
 }
 
-// Whether each line of the head ends in CR LF, holds a proper field, and frames the message in one
-// way only.
+// Whether each line of the head ends in CR LF and holds a valid field, and the message has exactly
+// one framing.
 bool is_strict_head(std::string_view head, http_reader_kind kind)
 {
     framing_fields seen;
@@ -152,13 +152,13 @@
     const bool known = std::any_of(names.begin(), names.end(), [name](std::string_view one) {
         return same_field_name(one, name);
     });
-    return known || lists(connection, name);
+    return known || list_contains(connection, name);
 }
 
 namespace {
 
-// Whether an answer's head gives its body no end, so that only the close of the connection ends it.
-bool has_open_end(const http_parser& parser)
+// Whether the head gives the body no length, so that only the close of the connection ends it.
+bool has_body_until_close(const http_parser& parser)
 {
     constexpr unsigned status_no_content = 204;
     constexpr unsigned status_not_modified = 304;
@@ -172,28 +172,29 @@
 
 class http_reader::state {
 public:
-    state(http_reader_kind what, http_message_listener& told, std::size_t head_bound)
-        : kind(what), listener(told), max_head(head_bound)
+    state(http_reader_kind reader_kind, http_message_listener& new_listener,
+          std::size_t max_head_bytes)
+        : kind(reader_kind), listener(new_listener), max_head(max_head_bytes)
     {
         http_parser_init(&this->parser,
-                         what == http_reader_kind::requests ? HTTP_REQUEST : HTTP_RESPONSE);
+                         reader_kind == http_reader_kind::requests ? HTTP_REQUEST : HTTP_RESPONSE);
         this->parser.data = this;
     }
 
     std::size_t feed(std::string_view bytes);
     void feed_end();
-    void fail(framing_fault why) { this->found = why; }
+    void fail(framing_fault why) { this->framing_error = why; }
 
     http_reader_kind kind;
     http_message_listener& listener;
     std::size_t max_head;
     http_parser parser{};
-    std::string head; // bytes of a head that is not whole yet
+    std::string head; // bytes of an incomplete head
     bool in_head = true;
     bool in_body = false;
-    bool ended = false;    // the message that was fed last is whole
-    bool open_end = false; // the message under way ends with its connection
-    framing_fault found = framing_fault::none;
+    bool ended = false;            // the last message is complete
+    bool body_until_close = false; // the current body ends when its connection closes
+    framing_fault framing_error = framing_fault::none;
     std::string target;
     http_fields fields;
     bool value_began = false;
@@ -242,7 +243,7 @@
     state& self = of(parser);
     self.in_head = false;
     self.in_body = true;
-    // An upgrade that is asked for is never made: what follows is an ordinary body.
+    // Upgrades are not supported: the following bytes are an ordinary body.
     parser->upgrade = 0;
     const bool keep_alive = http_should_keep_alive(parser) != 0;
     auto fields = std::exchange(self.fields, {});
@@ -257,8 +258,8 @@
     }
     http_response_head head;
     head.status = static_cast<int>(parser->status_code);
-    head.ends_with_connection = has_open_end(*parser);
-    self.open_end = head.ends_with_connection;
+    head.ends_with_connection = has_body_until_close(*parser);
+    self.body_until_close = head.ends_with_connection;
     head.keep_alive = keep_alive && !head.ends_with_connection;
     head.fields = std::move(fields);
     return self.listener.on_response(std::move(head)) ? skip_body : 0;
@@ -278,7 +279,7 @@
     self.ended = true;
     self.fields.clear(); // trailers
     self.value_began = false;
-    // The next message waits until its owner has dealt with this one.
+    // Stops before the next message until the owner has processed this one.
     http_parser_pause(parser, 1);
     self.listener.on_message_end();
     return 0;
@@ -287,15 +288,15 @@
 const http_parser_settings& http_reader::state::callbacks()
 {
     static const http_parser_settings table = [] {
-        http_parser_settings made;
-        http_parser_settings_init(&made);
-        made.on_url = on_url;
-        made.on_header_field = on_name;
-        made.on_header_value = on_value;
-        made.on_headers_complete = on_head;
-        made.on_body = on_body;
-        made.on_message_complete = on_end;
-        return made;
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_url = on_url;
+        settings.on_header_field = on_name;
+        settings.on_header_value = on_value;
+        settings.on_headers_complete = on_head;
+        settings.on_body = on_body;
+        settings.on_message_complete = on_end;
+        return settings;
     }();
     return table;
 }
@@ -313,13 +314,14 @@
     return taken;
 }
 
-// Gathers the whole head before any of it counts, so that a head that is refused has had no effect.
+// Buffers the complete head before parsing it, so that a refused head has no effect.
 std::size_t http_reader::state::feed_head(std::string_view bytes)
 {
     const std::size_t before = this->head.size();
     const std::size_t search_from = before < head_end.size() ? 0 : before - head_end.size();
-    // The bound is on what stands before the end. The end's own bytes may come one by one, so that
-    // a head counts as too long only when there is no more room for them.
+    // The limit applies to the bytes before the end of the head. The terminator may arrive in
+    // pieces, so a head counts as too long only when there is no more space for the terminator's
+    // bytes.
     const std::size_t room = this->max_head + head_end.size() - before;
     this->head.append(bytes.substr(0, room));
     const auto end = this->head.find(head_end, search_from);
@@ -331,11 +333,11 @@
     }
     this->head.resize(end + head_end.size());
     const std::size_t taken = this->head.size() - before;
-    const std::string whole = std::exchange(this->head, {});
-    if (!is_strict_head(whole, this->kind)) {
+    const std::string complete_head = std::exchange(this->head, {});
+    if (!is_strict_head(complete_head, this->kind)) {
         this->fail(framing_fault::malformed);
     } else {
-        this->execute(whole);
+        this->execute(complete_head);
     }
     return taken;
 }
@@ -344,7 +346,7 @@
 {
     std::size_t taken = 0;
     this->ended = false;
-    while (taken < bytes.size() && !this->ended && this->found == framing_fault::none) {
+    while (taken < bytes.size() && !this->ended && this->framing_error == framing_fault::none) {
         const auto rest = bytes.substr(taken);
         taken += this->in_head ? this->feed_head(rest) : this->execute(rest);
     }
@@ -353,17 +355,17 @@
 
 void http_reader::state::feed_end()
 {
-    if (this->found != framing_fault::none) {
+    if (this->framing_error != framing_fault::none) {
         return;
     }
     if (this->in_head) {
         if (!this->head.empty()) {
-            this->fail(framing_fault::too_early);
+            this->fail(framing_fault::truncated);
         }
         return;
     }
-    if (!this->open_end) {
-        this->fail(framing_fault::too_early);
+    if (!this->body_until_close) {
+        this->fail(framing_fault::truncated);
         return;
     }
     http_parser_execute(&this->parser, &callbacks(), "", 0);
@@ -393,7 +395,7 @@
 
 framing_fault http_reader::fault() const
 {
-    return this->inner->found;
+    return this->inner->framing_error;
 }
 
 bool http_reader::inside_message() const
--- a/adapters/test/http_outbound_test.cpp
+++ b/adapters/test/http_outbound_test.cpp
@@ -22,11 +22,11 @@
 
 namespace {
 
-// An endpoint in a script: each connection is answered with the bytes given for it.
+// A scripted endpoint that sends the next configured answer for each request.
 class scripted_endpoint final : public socket_listener {
 public:
-    explicit scripted_endpoint(event_loop& runs_on)
-        : loop(runs_on), acceptor(tcp_socket::listen("127.0.0.1", 0))
+    explicit scripted_endpoint(event_loop& target_loop)
+        : loop(target_loop), acceptor(tcp_socket::listen("127.0.0.1", 0))
     {
         this->loop.watch(this->acceptor.get(), *this, true, false);
     }
@@ -89,8 +89,8 @@
     std::vector<std::unique_ptr<connection>> connections;
 };
 
-// Notes what an exchange brings, and takes or skips heads as told.
-class noting_listener final : public outbound_listener {
+// Records the events of an exchange. Skips heads with the field `Id: old` and accepts others.
+class recording_listener final : public outbound_listener {
 public:
     head_verdict on_head(const http_response_head& head) override
     {
@@ -100,70 +100,70 @@
     }
     void on_body(std::string_view piece) override { this->body.append(piece); }
     void on_end() override { this->ended = true; }
-    void on_break(const outbound_break& how) override { this->broken = how; }
+    void on_failure(const outbound_failure& how) override { this->failure = how; }
 
     std::vector<int> statuses;
     std::string body;
     bool ended = false;
-    std::optional<outbound_break> broken;
+    std::optional<outbound_failure> failure;
 };
 
-// Cancels its own exchange in the middle of one of its functions, and says when it is destroyed.
-class leaving_listener final : public outbound_listener {
+// Cancels its own exchange from within one of its functions, and records when it is destroyed.
+class cancelling_listener final : public outbound_listener {
 public:
     enum class moment { head, body, silence };
 
-    struct notes {
+    struct observations {
         bool inside = false;
         bool destroyed = false;
         bool destroyed_inside = false;
         int ended = 0;
     };
 
-    leaving_listener(http_outbound& of, moment chosen, notes& kept)
-        : client(of), when(chosen), seen(kept)
+    cancelling_listener(http_outbound& of, moment chosen, observations& record)
+        : client(of), when(chosen), seen(record)
     {}
-    ~leaving_listener() override
+    ~cancelling_listener() override
     {
         this->seen.destroyed = true;
         this->seen.destroyed_inside = this->seen.inside;
     }
-    leaving_listener(const leaving_listener&) = delete;
-    leaving_listener& operator=(const leaving_listener&) = delete;
+    cancelling_listener(const cancelling_listener&) = delete;
+    cancelling_listener& operator=(const cancelling_listener&) = delete;
 
     head_verdict on_head(const http_response_head& /*head*/) override
     {
-        this->leave_at(moment::head);
+        this->cancel_at(moment::head);
         return head_verdict::take;
     }
-    void on_body(std::string_view /*piece*/) override { this->leave_at(moment::body); }
+    void on_body(std::string_view /*piece*/) override { this->cancel_at(moment::body); }
     bool on_silence() override
     {
-        this->leave_at(moment::silence);
+        this->cancel_at(moment::silence);
         return true;
     }
     void on_end() override { ++this->seen.ended; }
-    void on_break(const outbound_break& /*how*/) override { ++this->seen.ended; }
+    void on_failure(const outbound_failure& /*how*/) override { ++this->seen.ended; }
 
     outbound_number exchange = 0;
 
 private:
-    void leave_at(moment reached)
+    void cancel_at(moment reached)
     {
-        auto& kept = this->seen; // still there should this object not be
+        auto& record = this->seen; // remains valid if this object is destroyed
         if (reached == this->when) {
-            kept.inside = true;
+            record.inside = true;
             this->client.cancel(this->exchange);
-            kept.inside = false;
+            record.inside = false;
         }
     }
 
     http_outbound& client;
     moment when;
-    notes& seen;
+    observations& seen;
 };
 
-// Starts the next exchange as soon as the one that it hears of has ended.
+// Starts the next exchange as soon as its own has ended.
 class chaining_listener final : public outbound_listener {
 public:
     chaining_listener(http_outbound& of, outbound_target at, outbound_listener_ptr after)
@@ -172,7 +172,7 @@
     head_verdict on_head(const http_response_head& /*head*/) override { return head_verdict::take; }
     void on_body(std::string_view /*piece*/) override {}
     void on_end() override { this->client.start(this->target, {}, std::move(this->next)); }
-    void on_break(const outbound_break& /*how*/) override { this->on_end(); }
+    void on_failure(const outbound_failure& /*how*/) override { this->on_end(); }
 
 private:
     http_outbound& client;
@@ -180,23 +180,23 @@
     outbound_listener_ptr next;
 };
 
-// Starts the exchange again each time that it fails, up to a bound.
-class persistent_listener final : public outbound_listener {
+// Starts the exchange again after each failure, up to a maximum.
+class retrying_listener final : public outbound_listener {
 public:
-    persistent_listener(http_outbound& of, outbound_target at, int& tries)
+    retrying_listener(http_outbound& of, outbound_target at, int& tries)
         : client(of), target(std::move(at)), count(tries)
     {}
     head_verdict on_head(const http_response_head& /*head*/) override { return head_verdict::take; }
     void on_body(std::string_view /*piece*/) override {}
     void on_end() override {}
-    void on_break(const outbound_break& /*how*/) override
+    void on_failure(const outbound_failure& /*how*/) override
     {
-        if (++this->count < most_tries) {
+        if (++this->count < max_tries) {
             this->client.start(this->target, {}, this);
         }
     }
 
-    static constexpr int most_tries = 10000;
+    static constexpr int max_tries = 10000;
 
 private:
     http_outbound& client;
@@ -213,7 +213,7 @@
     event_loop loop;
     std::unique_ptr<scripted_endpoint> endpoint;
     std::unique_ptr<http_outbound> client;
-    leaving_listener::notes left;
+    cancelling_listener::observations observed;
 
     void setup() override
     {
@@ -227,26 +227,26 @@
         this->endpoint.reset();
     }
 
-    boost::intrusive_ptr<noting_listener> ask(outbound_request request = {})
+    boost::intrusive_ptr<recording_listener> ask(outbound_request request = {})
     {
-        boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+        boost::intrusive_ptr<recording_listener> listener(new recording_listener);
         request.fields = {{"Host", "h"}};
         this->client->start(this->endpoint->target(), std::move(request), listener);
         this->run_for(milliseconds(80));
         return listener;
     }
 
-    // A listener that cancels at the moment is destroyed, but not inside its own function, and
-    // hears no more.
-    void leave_at(leaving_listener::moment moment, const outbound_request& request = {})
+    // Checks that a listener that cancels at the moment is destroyed, but not from within its own
+    // function, and is not called again.
+    void cancel_at(cancelling_listener::moment moment, const outbound_request& request = {})
     {
-        auto* made = new leaving_listener(*this->client, moment, this->left);
-        // Here alone the connection holds the last reference, as it does for a relay.
+        auto* made = new cancelling_listener(*this->client, moment, this->observed);
+        // The connection holds the only reference to the listener, as it does for a relay.
         made->exchange = this->client->start(this->endpoint->target(), request, made);
         this->run_for(milliseconds(80));
-        CHECK_TRUE(this->left.destroyed);
-        CHECK_FALSE(this->left.destroyed_inside);
-        CHECK_EQUAL(0, this->left.ended);
+        CHECK_TRUE(this->observed.destroyed);
+        CHECK_FALSE(this->observed.destroyed_inside);
+        CHECK_EQUAL(0, this->observed.ended);
     }
 
     void run_for(milliseconds time)
@@ -256,7 +256,7 @@
     }
 };
 
-TEST(http_outbound, brings_a_whole_answer)
+TEST(http_outbound, receives_a_complete_answer)
 {
     this->endpoint->answers = {answer};
     const auto seen = this->ask();
@@ -264,8 +264,8 @@
     STRCMP_EQUAL("ok", seen->body.c_str());
 }
 
-// An endpoint answers an earlier request late, where the answer to ours is due.
-TEST(http_outbound, passes_over_an_answer_to_another_request)
+// An endpoint sends the late answer to an earlier request before the expected one.
+TEST(http_outbound, skips_an_answer_to_another_request)
 {
     this->endpoint->answers = {"HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\nbad" +
                                answer};
@@ -274,47 +274,47 @@
     STRCMP_EQUAL("ok", seen->body.c_str());
 }
 
-TEST(http_outbound, an_answer_cut_short_is_broken)
+TEST(http_outbound, a_truncated_answer_fails)
 {
     this->endpoint->answers = {answer.substr(0, answer.size() - 1)};
     this->endpoint->closes = true;
     const auto seen = this->ask();
     CHECK_FALSE(seen->ended);
-    CHECK_TRUE(seen->broken->why == outbound_fault::connection_lost);
-    CHECK_TRUE(seen->broken->answer_began);
+    CHECK_TRUE(seen->failure->why == outbound_fault::connection_lost);
+    CHECK_TRUE(seen->failure->answer_began);
 }
 
-TEST(http_outbound, bytes_that_are_no_answer_are_broken)
+TEST(http_outbound, malformed_bytes_fail)
 {
     this->endpoint->answers = {"garbage\r\n\r\n"};
-    CHECK_TRUE(this->ask()->broken->why == outbound_fault::malformed);
+    CHECK_TRUE(this->ask()->failure->why == outbound_fault::malformed);
 }
 
-TEST(http_outbound, silence_ends_after_its_time)
+TEST(http_outbound, silence_fails_after_the_answer_time)
 {
     outbound_request request;
     request.answer_time = milliseconds(20);
-    CHECK_TRUE(this->ask(request)->broken->why == outbound_fault::silent);
+    CHECK_TRUE(this->ask(request)->failure->why == outbound_fault::silent);
 }
 
-// An endpoint answers in time, and its request is given up as silent. The answer came while the
-// router was busy with something else for longer than the endpoint may be silent; the timer of that
-// silence ran next, before the socket was read.
-TEST(http_outbound, an_answer_that_came_while_the_loop_was_busy_is_not_silence)
+// Guards against giving up a request as silent although its answer arrived in time. The answer
+// arrived while the loop was blocked for longer than the timeout, and the timer ran before the
+// socket was read.
+TEST(http_outbound, an_answer_that_arrived_while_the_loop_was_busy_is_not_silence)
 {
-    constexpr milliseconds patience{1000};
+    constexpr milliseconds answer_timeout{1000};
     tests::script_listener slow_endpoint;
-    boost::intrusive_ptr<noting_listener> waiting(new noting_listener);
-    outbound_request patient;
-    patient.fields = {{"Host", "h"}};
-    patient.answer_time = patience;
-    this->client->start({"slow", "127.0.0.1", slow_endpoint.port()}, patient, waiting);
+    boost::intrusive_ptr<recording_listener> waiting(new recording_listener);
+    outbound_request slow_request;
+    slow_request.fields = {{"Host", "h"}};
+    slow_request.answer_time = answer_timeout;
+    this->client->start({"slow", "127.0.0.1", slow_endpoint.port()}, slow_request, waiting);
     this->endpoint->answers = {answer};
     outbound_request other;
     other.fields = {{"Host", "h"}};
-    const auto hold_loop = [&slow_endpoint, patience](const whole_answer& /*brought*/) {
+    const auto block_loop = [&slow_endpoint, answer_timeout](const collected_answer& /*brought*/) {
         slow_endpoint.connections().front()->send(answer);
-        std::this_thread::sleep_for(patience + milliseconds(500));
+        std::this_thread::sleep_for(answer_timeout + milliseconds(500));
     };
     tests::loop_script script(this->loop);
     script
@@ -323,51 +323,51 @@
                 auto& open = slow_endpoint.connections();
                 return !open.empty() && open.front()->has("\r\n\r\n");
             },
-            [this, &other, &hold_loop] {
+            [this, &other, &block_loop] {
                 this->client->start(this->endpoint->target(), other,
-                                    gather_answer(1024, hold_loop));
+                                    collect_answer(1024, block_loop));
             })
-        .until([&waiting] { return waiting->ended || waiting->broken; });
+        .until([&waiting] { return waiting->ended || waiting->failure; });
     CHECK_TRUE(script.run());
-    CHECK_FALSE(waiting->broken.has_value());
+    CHECK_FALSE(waiting->failure.has_value());
     STRCMP_EQUAL("ok", waiting->body.c_str());
 }
 
-TEST(http_outbound, nobody_listening_means_not_sent)
+TEST(http_outbound, a_refused_connection_means_not_connected)
 {
     auto target = this->endpoint->target();
     this->endpoint.reset();
-    boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+    boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->start(target, {}, listener);
     this->run_for(milliseconds(50));
-    CHECK_TRUE(listener->broken->why == outbound_fault::not_connected);
+    CHECK_TRUE(listener->failure->why == outbound_fault::not_connected);
 }
 
-// A relay cancels a run from within the call that brings its bytes, as at a gap in a stream. The
-// listener was destroyed in the middle of its own function, which then went on without an object.
-TEST(http_outbound, a_listener_that_cancels_while_it_hears_a_piece_outlives_the_call)
+// Guards against a use after free: a relay cancels a run from within `on_body`, as at a gap in a
+// stream, and the listener was destroyed in the middle of that function.
+TEST(http_outbound, a_listener_that_cancels_in_on_body_outlives_the_call)
 {
     this->endpoint->answers = {answer};
-    this->leave_at(leaving_listener::moment::body);
+    this->cancel_at(cancelling_listener::moment::body);
 }
 
-TEST(http_outbound, a_listener_that_cancels_while_it_hears_a_head_outlives_the_call)
+TEST(http_outbound, a_listener_that_cancels_in_on_head_outlives_the_call)
 {
     this->endpoint->answers = {answer};
-    this->leave_at(leaving_listener::moment::head);
+    this->cancel_at(cancelling_listener::moment::head);
 }
 
-TEST(http_outbound, a_listener_that_cancels_while_it_hears_of_silence_outlives_the_call)
+TEST(http_outbound, a_listener_that_cancels_in_on_silence_outlives_the_call)
 {
     outbound_request request;
     request.answer_time = milliseconds(20);
-    this->leave_at(leaving_listener::moment::silence, request);
+    this->cancel_at(cancelling_listener::moment::silence, request);
 }
 
-TEST(http_outbound, the_next_exchange_may_begin_in_the_end_of_the_one_before)
+TEST(http_outbound, the_next_exchange_may_start_in_on_end_of_the_previous_one)
 {
     this->endpoint->answers = {answer, answer};
-    boost::intrusive_ptr<noting_listener> second(new noting_listener);
+    boost::intrusive_ptr<recording_listener> second(new recording_listener);
     this->client->start(this->endpoint->target(), {},
                         new chaining_listener(*this->client, this->endpoint->target(), second));
     this->run_for(milliseconds(80));
@@ -375,40 +375,40 @@
     CHECK_EQUAL(1, this->endpoint->accepted());
 }
 
-// Nobody listens at the endpoint, which is known at once; the caller leaves before it is told.
-TEST(http_outbound, an_exchange_cancelled_before_its_failure_is_told_says_nothing)
+// The connection fails immediately, and the exchange is cancelled before the failure is reported.
+TEST(http_outbound, an_exchange_cancelled_before_its_failure_is_reported_reports_nothing)
 {
     auto target = this->endpoint->target();
     target.host = "no number";
-    boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+    boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->cancel(this->client->start(target, {}, listener));
     this->run_for(milliseconds(20));
-    CHECK_FALSE(listener->broken.has_value());
+    CHECK_FALSE(listener->failure.has_value());
     CHECK_EQUAL(0, this->client->counts().open);
 }
 
-// The client ends with exchanges of which nobody has been told yet.
-TEST(http_outbound, a_client_may_end_with_failures_untold)
+// The client is destroyed while failures have not been reported yet.
+TEST(http_outbound, a_client_may_be_destroyed_before_failures_are_reported)
 {
     auto target = this->endpoint->target();
     target.host = "no number";
-    boost::intrusive_ptr<noting_listener> listener(new noting_listener);
+    boost::intrusive_ptr<recording_listener> listener(new recording_listener);
     this->client->start(target, {}, listener);
     this->client->cancel(this->client->start(target, {}, listener));
     this->client.reset();
     this->run_for(milliseconds(20));
-    CHECK_FALSE(listener->broken.has_value());
+    CHECK_FALSE(listener->failure.has_value());
 }
 
-// The store cannot be connected to, which is known at once, and each failed call leads to the next
-// one. Whatever else the loop has to do is done in between.
-TEST(http_outbound, exchanges_that_fail_as_they_start_leave_the_loop_to_others)
+// Guards against starving the loop: connections to the store fail immediately, and each failed call
+// starts the next one. Other work of the loop must run in between.
+TEST(http_outbound, exchanges_that_fail_at_start_do_not_starve_the_loop)
 {
     auto target = this->endpoint->target();
     target.host = "no number";
     int tries = 0;
-    this->client->start(target, {}, new persistent_listener(*this->client, target, tries));
+    this->client->start(target, {}, new retrying_listener(*this->client, target, tries));
     this->loop.post([this] { this->loop.stop(); });
     this->loop.run();
-    CHECK_TRUE(tries < persistent_listener::most_tries);
+    CHECK_TRUE(tries < retrying_listener::max_tries);
 }
--- a/router/include/pearhaven/router/event_relay.hpp
+++ b/router/include/pearhaven/router/event_relay.hpp
@@ -66,7 +66,7 @@
 
     void on_request(adapters::inbound_exchange_ptr caller) override;
     void on_caller_gone(adapters::inbound_exchange& caller) override;
-    void on_room(adapters::inbound_exchange& caller) override;
+    void on_flushed(adapters::inbound_exchange& caller) override;
 
     // Executes the dispatcher's pending actions. Call it after each event that was passed to the
     // dispatcher directly.
