--- a/adapters/src/course_codec.cpp
+++ b/adapters/src/course_codec.cpp
@@ -105,7 +105,7 @@
 
 } // namespace
 
-std::string write_course_record(const progress_record& record)
+std::string write_progress_record(const progress_record& record)
 {
     return to_stored_text({{"run", record.run},
                            {"step", record.step},
@@ -115,12 +115,12 @@
                            {"state", write_name(state_names, record.state)}});
 }
 
-std::optional<progress_record> read_course_record(std::string_view text)
+std::optional<progress_record> read_progress_record(std::string_view text)
 {
     return read_stored_text(text, read_record_value);
 }
 
-std::string write_course_evidence(const router_evidence& evidence)
+std::string write_router_evidence(const router_evidence& evidence)
 {
     return to_stored_text({{"run", evidence.run},
                            {"part", write_name(state_names, evidence.state)},
@@ -134,7 +134,7 @@
                            {"under_load", write_load_counts(evidence.under_load)}});
 }
 
-std::optional<router_evidence> read_course_evidence(std::string_view text)
+std::optional<router_evidence> read_router_evidence(std::string_view text)
 {
     return read_stored_text(text, read_evidence_value);
 }
--- a/adapters/test/course_codec_test.cpp
+++ b/adapters/test/course_codec_test.cpp
@@ -15,7 +15,7 @@
          {progress_state::staged, progress_state::load_trial, progress_state::full_traffic,
           progress_state::finished, progress_state::bad}) {
         const progress_record written{28, 3, 9, 40'000, state, 250'000};
-        const auto read = read_course_record(write_course_record(written));
+        const auto read = read_progress_record(write_progress_record(written));
         CHECK_TRUE(read.has_value());
         CHECK_TRUE(written == *read);
     }
@@ -25,7 +25,7 @@
 TEST(course_codec, a_record_of_an_earlier_release_fills_an_endpoint_with_all_requests)
 {
     const auto read =
-        read_course_record(R"({"run":28,"step":3,"routers":9,"session_ppm":4,"state":"loaded"})");
+        read_progress_record(R"({"run":28,"step":3,"routers":9,"session_ppm":4,"state":"loaded"})");
     CHECK_TRUE(read.has_value());
     CHECK_EQUAL(1'000'000U, read->fill_ppm);
 }
@@ -36,7 +36,7 @@
         const auto text = R"({"run":28,"step":3,"routers":9,"session_ppm":4,"state":"loaded",)"
                           R"("fill_ppm":)" +
                           std::string(share) + "}";
-        CHECK_FALSE(read_course_record(text).has_value());
+        CHECK_FALSE(read_progress_record(text).has_value());
     }
 }
 
@@ -45,33 +45,33 @@
 TEST(course_codec, a_record_with_a_number_that_does_not_fit_is_none)
 {
     const auto written =
-        write_course_record({28, 3, 9, 40'000, pearhaven::coordination::progress_state::staged});
+        write_progress_record({28, 3, 9, 40'000, pearhaven::coordination::progress_state::staged});
     for (const auto* const other : {R"("step":-1)", R"("step":4000000000)", R"("step":2.5)",
                                     R"("step":"3")", R"("step":null)"}) {
         auto text = written;
         text.replace(text.find(R"("step":3)"), 8, other);
-        CHECK_FALSE(read_course_record(text).has_value());
+        CHECK_FALSE(read_progress_record(text).has_value());
     }
     for (const auto* const other : {R"("routers":0)", R"("routers":-9)"}) {
         auto text = written;
         text.replace(text.find(R"("routers":9)"), 11, other);
-        CHECK_FALSE(read_course_record(text).has_value());
+        CHECK_FALSE(read_progress_record(text).has_value());
     }
 }
 
 TEST(course_codec, evidence_with_a_number_that_does_not_fit_is_none)
 {
-    const auto written = write_course_evidence(
+    const auto written = write_router_evidence(
         {28, pearhaven::coordination::progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5});
     for (const auto* const other : {R"("bad":-2)", R"("bad":1e300)", R"("bad":[2])"}) {
         auto text = written;
         text.replace(text.find(R"("bad":2)"), 7, other);
-        CHECK_FALSE(read_course_evidence(text).has_value());
+        CHECK_FALSE(read_router_evidence(text).has_value());
     }
     for (const auto* const other : {R"("long_rate":-1.0)", R"("long_rate":1e308)"}) {
         auto text = written;
         text.replace(text.find(R"("long_rate":3.5)"), 15, other);
-        CHECK_FALSE(read_course_evidence(text).has_value());
+        CHECK_FALSE(read_router_evidence(text).has_value());
     }
 }
 
@@ -79,7 +79,7 @@
 {
     router_evidence written{28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5};
     written.under_load = {{{4, 0}, {9, 1}, {0, 0}, {3, 2}, {0, 5}, {0, 0}, {0, 0}, {1, 0}}};
-    const auto read = read_course_evidence(write_course_evidence(written));
+    const auto read = read_router_evidence(write_router_evidence(written));
     CHECK_TRUE(read.has_value());
     CHECK_TRUE(written == *read);
 }
@@ -87,7 +87,7 @@
 // Guards against a roll-out without evidence while routers of two releases run.
 TEST(course_codec, evidence_of_an_earlier_release_tells_no_runs_under_load)
 {
-    const auto read = read_course_evidence(
+    const auto read = read_router_evidence(
         R"({"run":28,"part":"loaded","good":31,"bad":2,"quick":20,"slow":7,"earlier_good":11,)"
         R"("earlier_bad":1,"long_rate":3.5})");
     CHECK_TRUE(read.has_value());
@@ -98,13 +98,13 @@
 {
     router_evidence evidence{28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5};
     evidence.under_load.at(0) = {77, 0};
-    const auto written = write_course_evidence(evidence);
+    const auto written = write_router_evidence(evidence);
     const std::string level = R"({"bad":0,"good":77})";
     for (const auto* const other : {R"({"bad":0,"good":77},{"bad":0,"good":1})", "[]",
                                     R"({"bad":-1,"good":77})", R"({"good":77})"}) {
         auto text = written;
         text.replace(text.find(level), level.size(), other);
-        CHECK_FALSE(read_course_evidence(text).has_value());
+        CHECK_FALSE(read_router_evidence(text).has_value());
     }
 }
 
@@ -112,8 +112,8 @@
 {
     for (const auto* const text : {"", "{}", "[1]", "{\"run\":1,\"state\":\"lost\"}",
                                    "{\"run\":\"x\",\"part\":\"loaded\"}"}) {
-        CHECK_FALSE(read_course_record(text).has_value());
-        CHECK_FALSE(read_course_evidence(text).has_value());
+        CHECK_FALSE(read_progress_record(text).has_value());
+        CHECK_FALSE(read_router_evidence(text).has_value());
     }
 }
 
@@ -121,16 +121,16 @@
 // that nobody has ordered.
 TEST(course_codec, numbers_outside_their_range_are_not_read)
 {
-    const auto record = write_course_record({28, 3, 9, 40'000, progress_state::load_trial});
+    const auto record = write_progress_record({28, 3, 9, 40'000, progress_state::load_trial});
     const auto evidence =
-        write_course_evidence({28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5});
+        write_router_evidence({28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5});
     const auto with = [](std::string text, const std::string& old, const std::string& number) {
         return text.replace(text.find(old), old.size(), number);
     };
     for (const auto* const number : {"1e300", "-1", "2.5", "18446744073709551616", "true"}) {
-        CHECK_FALSE(read_course_record(with(record, "28", number)).has_value());
-        CHECK_FALSE(read_course_record(with(record, "40000", number)).has_value());
-        CHECK_FALSE(read_course_evidence(with(evidence, "31", number)).has_value());
+        CHECK_FALSE(read_progress_record(with(record, "28", number)).has_value());
+        CHECK_FALSE(read_progress_record(with(record, "40000", number)).has_value());
+        CHECK_FALSE(read_router_evidence(with(evidence, "31", number)).has_value());
     }
-    CHECK_FALSE(read_course_record(with(record, "40000", "4294967296")).has_value());
+    CHECK_FALSE(read_progress_record(with(record, "40000", "4294967296")).has_value());
 }
--- a/adapters/test/parser_fuzz_test.cpp
+++ b/adapters/test/parser_fuzz_test.cpp
@@ -261,13 +261,13 @@
 {
     using coordination::progress_state;
     const std::vector<std::string> examples = {
-        write_course_record({28, 3, 9, 40'000, progress_state::load_trial}),
-        write_course_evidence({28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5})};
-    CHECK_TRUE(read_course_record(examples[0]).has_value());
-    CHECK_TRUE(read_course_evidence(examples[1]).has_value());
+        write_progress_record({28, 3, 9, 40'000, progress_state::load_trial}),
+        write_router_evidence({28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5})};
+    CHECK_TRUE(read_progress_record(examples[0]).has_value());
+    CHECK_TRUE(read_router_evidence(examples[1]).has_value());
     const auto wrong = first_fault(examples, 1'000, [](const std::string& bytes, byte_mutator&) {
-        return comes_back(bytes, read_course_record, write_course_record) &&
-               comes_back(bytes, read_course_evidence, write_course_evidence);
+        return comes_back(bytes, read_progress_record, write_progress_record) &&
+               comes_back(bytes, read_router_evidence, write_router_evidence);
     });
     CHECK_EQUAL(std::string(), wrong);
 }
