--- a/adapters/include/pearhaven/adapters/configuration_codec.hpp
+++ b/adapters/include/pearhaven/adapters/configuration_codec.hpp
@@ -23,16 +23,16 @@
 };
 
 // Where an object was written.
-struct object_place {
+struct object_location {
     std::string file;
     int line = 0;
 
-    friend bool operator==(const object_place&, const object_place&) = default;
+    friend bool operator==(const object_location&, const object_location&) = default;
 };
 
 struct parsed_objects {
     std::vector<coordination::config_object> objects; // bodies are canonical JSON
-    std::vector<object_place> places;                 // of the object with the same index
+    std::vector<object_location> places;              // of the object with the same index
     std::vector<configuration_fault> faults;
 };
 
--- a/adapters/include/pearhaven/adapters/flags.hpp
+++ b/adapters/include/pearhaven/adapters/flags.hpp
@@ -10,7 +10,7 @@
 struct read_flags_result {
     std::vector<std::string> positional;
     std::vector<std::string> faults; // one sentence each: what was found and what is allowed
-    bool help_wanted = false;
+    bool help_requested = false;
 };
 
 // Sets the program's gflags from the command line, then from environment variables PREFIX_NAME (in
--- a/adapters/include/pearhaven/adapters/shallow_json.hpp
+++ b/adapters/include/pearhaven/adapters/shallow_json.hpp
@@ -18,9 +18,10 @@
 };
 
 // Levels that no object of a configuration and no page of ours has.
-inline constexpr int deepest_json = 16;
+inline constexpr int max_json_depth = 16;
 
-[[nodiscard]] shallow_json parse_shallow_json(const std::string& text, int deepest = deepest_json);
+[[nodiscard]] shallow_json parse_shallow_json(const std::string& text,
+                                              int deepest = max_json_depth);
 
 } // namespace pearhaven::adapters
 
--- a/adapters/src/flags.cpp
+++ b/adapters/src/flags.cpp
@@ -82,7 +82,7 @@
         auto name = argument.substr(std::min(begin, argument.size()), equals - begin);
         std::replace(name.begin(), name.end(), '-', '_');
         if (name == "help" || name == "h") {
-            this->result.help_wanted = true;
+            this->result.help_requested = true;
             return;
         }
         gflags::CommandLineFlagInfo info;
--- a/adapters/test/configuration_codec_test.cpp
+++ b/adapters/test/configuration_codec_test.cpp
@@ -151,8 +151,8 @@
 {
     const auto parsed = parse_yaml("kind: team\nname: a\n---\n\nkind: team\nname: b\n", "a.yaml");
     CHECK_EQUAL(2U, parsed.places.size());
-    CHECK_TRUE(parsed.places[0] == object_place({"a.yaml", 1}));
-    CHECK_TRUE(parsed.places[1] == object_place({"a.yaml", 5}));
+    CHECK_TRUE(parsed.places[0] == object_location({"a.yaml", 1}));
+    CHECK_TRUE(parsed.places[1] == object_location({"a.yaml", 5}));
 }
 
 TEST(configuration_codec_test, a_wrong_type_is_named_with_its_line)
--- a/benchmarks/load_main.cpp
+++ b/benchmarks/load_main.cpp
@@ -291,7 +291,7 @@
 {
     using namespace pearhaven::benchmarks;
     auto flags = pearhaven::adapters::read_flags(argc, argv, "PEARHAVEN_LOAD");
-    if (flags.help_wanted) {
+    if (flags.help_requested) {
         std::cout << "load: sends chat requests and shows how they fared\n"
                   << pearhaven::adapters::describe_flags("load_main.cpp");
         return 0;
--- a/control/src/object_files.cpp
+++ b/control/src/object_files.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using adapters::configuration_fault;
-using adapters::object_place;
+using adapters::object_location;
 using coordination::config_object;
 
 // Reads one file after the other and gathers what they hold.
@@ -39,7 +39,7 @@
     }
 
     // Twice in one file is a fault that the parser has found already.
-    void add(config_object object, const object_place& place)
+    void add(config_object object, const object_location& place)
     {
         const std::string key = object_text(object.kind, object.name);
         const auto [first, fresh] = this->places.emplace(key, place);
@@ -51,7 +51,7 @@
         this->objects.push_back(std::move(object));
     }
 
-    std::map<std::string, object_place> places;
+    std::map<std::string, object_location> places;
 };
 
 // `apply -f a.yaml b.yaml` means both.
--- a/control/src/program.cpp
+++ b/control/src/program.cpp
@@ -66,14 +66,14 @@
 
 exit_code run_settings(read_settings_result read)
 {
-    if (read.help_wanted || read.command.empty()) {
+    if (read.help_requested || read.command.empty()) {
         auto& arguments = read.settings.arguments;
         arguments.clear();
         if (!read.command.empty()) {
             arguments.push_back(read.command);
         }
         const exit_code shown = run_command(read, "help");
-        return read.help_wanted ? shown : exit_code::usage;
+        return read.help_requested ? shown : exit_code::usage;
     }
     return read.faults.empty() ? run_command(read, read.command) : refuse_settings(read);
 }
--- a/control/src/settings.cpp
+++ b/control/src/settings.cpp
@@ -180,7 +180,7 @@
                                       environment_prefix);
     read_settings_result result;
     result.faults = std::move(flags.faults);
-    result.help_wanted = flags.help_wanted;
+    result.help_requested = flags.help_requested;
     result.settings.files = std::move(split.files);
     if (split.file_missing) {
         result.faults.emplace_back("-f: found nothing, allowed is the name of a file, or -");
--- a/control/src/settings.hpp
+++ b/control/src/settings.hpp
@@ -33,7 +33,7 @@
     std::string command; // empty where none was given
     control_settings settings;
     std::vector<std::string> faults; // one sentence each
-    bool help_wanted = false;
+    bool help_requested = false;
 };
 
 // Reads flags, then environment variables PEARHAVENCTL_FLAG for those that are not given. The
--- a/router/include/pearhaven/router/settings.hpp
+++ b/router/include/pearhaven/router/settings.hpp
@@ -56,7 +56,7 @@
     router_settings settings;
     std::vector<std::string> faults;
     std::vector<std::string> flag_faults; // those of `faults` that other settings cannot fix
-    bool help_wanted = false;
+    bool help_requested = false;
 };
 
 // Reads flags, and environment variables PEARHAVEND_NAME for flags that were not given. Secrets are
--- a/router/src/main.cpp
+++ b/router/src/main.cpp
@@ -65,7 +65,7 @@
 int main(int argc, char** argv)
 {
     const auto parsed = pearhaven::router::read_settings(argc, argv);
-    if (parsed.help_wanted) {
+    if (parsed.help_requested) {
         std::fputs(pearhaven::router::settings_help().c_str(), stdout);
         return 0;
     }
--- a/router/src/settings.cpp
+++ b/router/src/settings.cpp
@@ -205,7 +205,7 @@
 {
     auto flags = adapters::read_flags(argc, argv, "PEARHAVEND");
     parsed_settings parsed;
-    parsed.help_wanted = flags.help_wanted;
+    parsed.help_requested = flags.help_requested;
     parsed.flag_faults = flags.faults;
     parsed.faults = std::move(flags.faults);
     auto& faults = parsed.faults;
--- a/router/test/parser_fuzz_test.cpp
+++ b/router/test/parser_fuzz_test.cpp
@@ -146,7 +146,7 @@
             pointers.push_back(argument.data());
         }
         const auto read = read_settings(static_cast<int>(pointers.size()), pointers.data());
-        return read.help_wanted || !read.faults.empty() || check_settings(read.settings).empty();
+        return read.help_requested || !read.faults.empty() || check_settings(read.settings).empty();
     });
     CHECK_EQUAL(std::string(), wrong);
 }
