--- a/adapters/src/course_codec.cpp
+++ b/adapters/src/progress_codec.cpp
@@ -1,4 +1,4 @@
-#include "pearhaven/adapters/course_codec.hpp"
+#include "pearhaven/adapters/progress_codec.hpp"
 
 #include "stored_values_json.hpp"
 
--- a/adapters/test/parser_fuzz_test.cpp
+++ b/adapters/test/parser_fuzz_test.cpp
@@ -7,8 +7,8 @@
 #include "property.hpp"
 
 #include "pearhaven/adapters/configuration_codec.hpp"
-#include "pearhaven/adapters/course_codec.hpp"
 #include "pearhaven/adapters/http_message.hpp"
+#include "pearhaven/adapters/progress_codec.hpp"
 #include "pearhaven/adapters/stored_values.hpp"
 
 #include <rapidcheck.h>
--- a/adapters/test/course_codec_test.cpp
+++ b/adapters/test/progress_codec_test.cpp
@@ -1,4 +1,4 @@
-#include "pearhaven/adapters/course_codec.hpp"
+#include "pearhaven/adapters/progress_codec.hpp"
 
 #include <string>
 
@@ -7,9 +7,9 @@
 using namespace pearhaven::adapters;
 using namespace pearhaven::coordination;
 
-TEST_GROUP(course_codec){};
+TEST_GROUP(progress_codec){};
 
-TEST(course_codec, a_record_reads_as_it_was_written)
+TEST(progress_codec, a_record_reads_as_it_was_written)
 {
     for (const auto state :
          {progress_state::staged, progress_state::load_trial, progress_state::full_traffic,
@@ -22,7 +22,7 @@
 }
 
 // Guards against a trial that no request takes part in while routers of two releases run.
-TEST(course_codec, a_record_of_an_earlier_release_fills_an_endpoint_with_all_requests)
+TEST(progress_codec, a_record_of_an_earlier_release_fills_an_endpoint_with_all_requests)
 {
     const auto read =
         read_progress_record(R"({"run":28,"step":3,"routers":9,"session_ppm":4,"state":"loaded"})");
@@ -30,7 +30,7 @@
     CHECK_EQUAL(1'000'000U, read->fill_ppm);
 }
 
-TEST(course_codec, a_record_with_a_share_that_does_not_fit_is_none)
+TEST(progress_codec, a_record_with_a_share_that_does_not_fit_is_none)
 {
     for (const auto* const share : {"-1", "1000001", "0.5", "null"}) {
         const auto text = R"({"run":28,"step":3,"routers":9,"session_ppm":4,"state":"loaded",)"
@@ -42,7 +42,7 @@
 
 // A step is counted through one by one whenever it is looked up; a number that wraps or goes beyond
 // all measure would hold the router up, and a fleet of none would be divided by.
-TEST(course_codec, a_record_with_a_number_that_does_not_fit_is_none)
+TEST(progress_codec, a_record_with_a_number_that_does_not_fit_is_none)
 {
     const auto written =
         write_progress_record({28, 3, 9, 40'000, pearhaven::coordination::progress_state::staged});
@@ -59,7 +59,7 @@
     }
 }
 
-TEST(course_codec, evidence_with_a_number_that_does_not_fit_is_none)
+TEST(progress_codec, evidence_with_a_number_that_does_not_fit_is_none)
 {
     const auto written = write_router_evidence(
         {28, pearhaven::coordination::progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5});
@@ -75,7 +75,7 @@
     }
 }
 
-TEST(course_codec, evidence_reads_as_it_was_written)
+TEST(progress_codec, evidence_reads_as_it_was_written)
 {
     router_evidence written{28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5};
     written.under_load = {{{4, 0}, {9, 1}, {0, 0}, {3, 2}, {0, 5}, {0, 0}, {0, 0}, {1, 0}}};
@@ -85,7 +85,7 @@
 }
 
 // Guards against a roll-out without evidence while routers of two releases run.
-TEST(course_codec, evidence_of_an_earlier_release_tells_no_runs_under_load)
+TEST(progress_codec, evidence_of_an_earlier_release_tells_no_runs_under_load)
 {
     const auto read = read_router_evidence(
         R"({"run":28,"part":"loaded","good":31,"bad":2,"quick":20,"slow":7,"earlier_good":11,)"
@@ -94,7 +94,7 @@
     CHECK_TRUE(read->under_load == pearhaven::decision::load_counts{});
 }
 
-TEST(course_codec, evidence_with_runs_under_load_of_another_shape_is_none)
+TEST(progress_codec, evidence_with_runs_under_load_of_another_shape_is_none)
 {
     router_evidence evidence{28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5};
     evidence.under_load.at(0) = {77, 0};
@@ -108,7 +108,7 @@
     }
 }
 
-TEST(course_codec, what_cannot_be_read_is_nothing)
+TEST(progress_codec, what_cannot_be_read_is_nothing)
 {
     for (const auto* const text : {"", "{}", "[1]", "{\"run\":1,\"state\":\"lost\"}",
                                    "{\"run\":\"x\",\"part\":\"loaded\"}"}) {
@@ -119,7 +119,7 @@
 
 // A number that does not fit must not become another one: a router would take a step of a roll-out
 // that nobody has ordered.
-TEST(course_codec, numbers_outside_their_range_are_not_read)
+TEST(progress_codec, numbers_outside_their_range_are_not_read)
 {
     const auto record = write_progress_record({28, 3, 9, 40'000, progress_state::load_trial});
     const auto evidence =
