--- a/adapters/src/frame_buffer.cpp
+++ b/adapters/src/frame_buffer.cpp
@@ -24,7 +24,7 @@
 std::string make_frame(const frame_code& code, std::string_view payload)
 {
     std::string text;
-    text.reserve(frame_head_bytes + payload.size());
+    text.reserve(frame_header_bytes + payload.size());
     std::size_t length = payload.size();
     for (std::size_t index = 0; index < length_bytes; ++index) {
         text += static_cast<char>(length & 0xFFU);
@@ -56,12 +56,12 @@
     if (length > max_payload) {
         return frame_outcome::oversized;
     }
-    if (text.size() < frame_head_bytes + length) {
+    if (text.size() < frame_header_bytes + length) {
         return frame_outcome::incomplete;
     }
     std::memcpy(result.code.data(), text.data() + length_bytes, result.code.size());
-    result.payload = text.substr(frame_head_bytes, length);
-    this->used += frame_head_bytes + length;
+    result.payload = text.substr(frame_header_bytes, length);
+    this->used += frame_header_bytes + length;
     return frame_outcome::whole;
 }
 
--- a/adapters/src/frame_buffer.hpp
+++ b/adapters/src/frame_buffer.hpp
@@ -10,7 +10,7 @@
 namespace pearhaven::adapters {
 
 // A frame is the payload's length (4 bytes, little-endian), its code, and the payload.
-inline constexpr std::size_t frame_head_bytes = 4 + sizeof(frame_code);
+inline constexpr std::size_t frame_header_bytes = 4 + sizeof(frame_code);
 
 std::string make_frame(const frame_code& code, std::string_view payload);
 
--- a/adapters/src/incoming_connection.cpp
+++ b/adapters/src/incoming_connection.cpp
@@ -32,7 +32,7 @@
     if (this->socket) {
         this->forget(this->socket.get());
         this->socket.close();
-        this->context.some_are_over = true;
+        this->context.has_closed_connections = true;
     }
 }
 
@@ -121,7 +121,7 @@
         return false;
     }
     ++this->context.counters.received;
-    this->context.counters.received_bytes += frame_head_bytes + item.payload.size();
+    this->context.counters.received_bytes += frame_header_bytes + item.payload.size();
     return true;
 }
 
--- a/adapters/src/link_connection.hpp
+++ b/adapters/src/link_connection.hpp
@@ -44,7 +44,7 @@
     poller ready;
     deadline_index deadlines;
     std::unordered_map<int, link_connection*> by_socket;
-    bool some_are_over = false; // connections that can be cleared up
+    bool has_closed_connections = false; // connections that can be cleared up
 
     // Where bytes are read into before the connection that they came on takes them. Its size is how
     // much one connection may bring before the others have their turn.
--- a/adapters/src/outgoing_connection.cpp
+++ b/adapters/src/outgoing_connection.cpp
@@ -278,7 +278,7 @@
     this->disconnect();
     this->phase = stage::idle;
     this->failures = 0;
-    this->context.some_are_over = true;
+    this->context.has_closed_connections = true;
 }
 
 void outgoing_connection::disconnect()
--- a/adapters/src/peer_link.cpp
+++ b/adapters/src/peer_link.cpp
@@ -271,7 +271,7 @@
 
 void tcp_peer_link::clear_up()
 {
-    if (!std::exchange(this->context.some_are_over, false)) {
+    if (!std::exchange(this->context.has_closed_connections, false)) {
         return;
     }
     this->incoming.remove_if([](const incoming_connection& item) { return item.is_closed(); });
