--- a/adapters/include/pearhaven/adapters/authenticator.hpp
+++ b/adapters/include/pearhaven/adapters/authenticator.hpp
@@ -9,14 +9,15 @@
 
 namespace pearhaven::adapters {
 
-// Makes and checks message authentication codes under keys derived from the fleet key: number N of
-// the configuration's session keys gives the N-th derived key, so that no secret lies in the store.
+// Computes and verifies message authentication codes under keys derived from the fleet key. Session
+// key number N of the configuration selects the N-th derived key, so no secret is kept in the
+// store.
 std::unique_ptr<decision::token_authenticator> make_token_authenticator(std::string_view fleet_key);
 
-// Compares in time that depends only on the lengths.
+// Compares in a time that depends only on the lengths.
 bool equal_in_constant_time(std::string_view left, std::string_view right);
 
-// Random identifier of 16 bytes in hexadecimal, from the operating system's source.
+// Random 16-byte identifier in hexadecimal, from the operating system's random source.
 std::string random_identifier();
 
 } // namespace pearhaven::adapters
--- a/adapters/include/pearhaven/adapters/configuration_codec.hpp
+++ b/adapters/include/pearhaven/adapters/configuration_codec.hpp
@@ -11,10 +11,10 @@
 
 namespace pearhaven::adapters {
 
-// One fault in a configuration text, with where it is and what was expected there.
+// One fault in a configuration text: where it is, what was found and what is allowed there.
 struct configuration_fault {
     std::string file;
-    int line = 0; // 1 for the first; 0 where the text has no lines
+    int line = 0; // 1-based; 0 when there is no line information
     std::string field;
     std::string found;
     std::string allowed;
@@ -22,7 +22,7 @@
     friend bool operator==(const configuration_fault&, const configuration_fault&) = default;
 };
 
-// Where an object was written.
+// Location of an object in its source file.
 struct object_location {
     std::string file;
     int line = 0;
@@ -32,20 +32,20 @@
 
 struct parsed_objects {
     std::vector<coordination::config_object> objects; // bodies are canonical JSON
-    std::vector<object_location> places;              // of the object with the same index
+    std::vector<object_location> places;              // by object index
     std::vector<configuration_fault> faults;
 };
 
-// Reads a YAML text of one or more documents into stored objects. All faults are reported together;
-// the objects count only when there is none.
+// Parses a YAML text of one or more documents into stored objects. Reports all faults together; the
+// objects are valid only when there are no faults.
 parsed_objects parse_yaml(std::string_view text, const std::string& file);
 
-// Reads one stored object's JSON body. Used on what comes from the store or from operators' tools.
-// A deleted object, whose body is empty, has only its kind and name checked.
+// Validates the JSON body of one stored object, as received from the store or from operator tools.
+// For a deleted object, whose body is empty, checks only the kind and the name.
 std::vector<configuration_fault> check_object(const coordination::config_object& object);
 
-// Builds the typed configuration. Objects that do not parse are left out and reported: a router
-// goes on with all the others.
+// Builds the typed configuration. Objects that cannot be parsed are skipped and reported, so that a
+// router can use all the others.
 struct built_configuration {
     decision::configuration_ptr configuration;
     std::vector<configuration_fault> faults;
@@ -53,11 +53,12 @@
 built_configuration build_configuration(std::uint64_t revision,
                                         const std::vector<coordination::config_object>& objects);
 
-// Faults between objects: a rollout that names no version, two teams with one key, and the like.
+// Checks references between objects: a rollout that names a missing version, two teams with the
+// same key, and so on.
 std::vector<configuration_fault>
 check_references(const std::vector<coordination::config_object>& objects);
 
-// One line for people: "teams.yaml:12: spec.weight: found "heavy", allowed a number above 0".
+// One line for display: "teams.yaml:12: spec.weight: found "heavy", allowed a number above 0".
 std::string to_string(const configuration_fault& fault);
 
 // Lower-case hexadecimal SHA-256, the form in which team keys are stored.
--- a/adapters/include/pearhaven/adapters/flags.hpp
+++ b/adapters/include/pearhaven/adapters/flags.hpp
@@ -6,22 +6,22 @@
 
 namespace pearhaven::adapters {
 
-// What came of a command line beside the flags that were set.
+// Result of reading the command line, apart from the flags that were set.
 struct read_flags_result {
     std::vector<std::string> positional;
-    std::vector<std::string> faults; // one sentence each: what was found and what is allowed
+    std::vector<std::string> faults; // one sentence each: the value found and the values allowed
     bool help_requested = false;
 };
 
-// Sets the program's gflags from the command line, then from environment variables PREFIX_NAME (in
-// capitals) those that the command line left out. `--flagfile=PATH` stands for the arguments in a
-// file, one a line; PREFIX_FLAGFILE names one that is read before the command line. A file that is
-// named within itself is a fault, as are more than 100. All faults come back together, where
-// gflags' own parser would end the process at the first.
+// Sets the gflags of the program from the command line, then sets those not given there from
+// environment variables named PREFIX_NAME (in capitals). `--flagfile=PATH` is replaced by the
+// arguments in that file, one per line; PREFIX_FLAGFILE names a file that is read before the
+// command line. A file that includes itself is a fault, and so are more than 100 files. All faults
+// are reported together, whereas the gflags parser exits the process at the first one.
 read_flags_result read_flags(int argc, char** argv, const std::string& environment_prefix);
 
-// The flags that the program itself defines, with type, default and meaning, one a line.
-// `source_part` is a part of the path of the file that defines them.
+// Lists the flags that the program itself defines, one per line, with type, default and
+// description. `source_part` is a part of the path of the source file that defines them.
 std::string describe_flags(const std::string& source_part);
 
 } // namespace pearhaven::adapters
--- a/adapters/include/pearhaven/adapters/log.hpp
+++ b/adapters/include/pearhaven/adapters/log.hpp
@@ -12,29 +12,29 @@
 
 enum class log_format { text, json };
 
-// Chooses the format of the process's log, which goes to standard error. Called once, at start.
-// `process` names this process in each line.
+// Sets the log format of the process and starts logging to standard error. Call once, at startup.
+// `process` is the process name written in each line.
 void start_log(log_format format, const std::string& process);
 
-// Writes JSON lines to standard output instead, by `flush_log`, without ever blocking: lines that
-// find no room are dropped and counted in the next line that does. For a process whose one thread
-// serves callers. Called once, at start.
+// Logs JSON lines to standard output instead. Lines are buffered and written by `flush_log` without
+// blocking; lines that do not fit into the buffer are dropped, and the next line that fits reports
+// their number. For a process that serves callers on a single thread. Call once, at startup.
 void start_buffered_log(const std::string& process);
 
-// Hands buffered lines to the system, as many as it takes at once. To be called now and then, on
-// the thread that logs.
+// Writes as many buffered lines as the system accepts without blocking. Call regularly, on the
+// thread that logs.
 void flush_log();
 
 using log_field = std::pair<std::string_view, std::string>;
 
-// A time as a field's value: whole milliseconds.
+// Formats a duration as whole milliseconds, for use as a field value.
 [[nodiscard]] std::string milliseconds(decision::duration time);
 
-// A change of state worth a line: something began, ended or was lost. Not for single requests,
-// those are counted. Secrets must not be among the fields.
+// Logs a state change: something began, ended or was lost. Not for single requests, which are
+// counted in metrics. The fields must not contain secrets.
 void log_change(std::string_view event, std::initializer_list<log_field> fields);
 
-// Like log_change, for changes that an operator should look at.
+// Like log_change, for changes that need the attention of an operator.
 void log_warning(std::string_view event, std::initializer_list<log_field> fields);
 
 } // namespace pearhaven::adapters
--- a/adapters/include/pearhaven/adapters/metrics.hpp
+++ b/adapters/include/pearhaven/adapters/metrics.hpp
@@ -12,9 +12,9 @@
 
 using metric_labels = std::vector<std::pair<std::string, std::string>>;
 
-// Counters, gauges and latency histograms of one process, in the Prometheus text format. Series are
-// made when first touched and bounded in number: beyond `max_series` a new one is folded into a
-// series whose label values are all "other". Safe from any thread.
+// Counters, gauges and latency histograms of one process, exported in the Prometheus text format. A
+// series is created on first use. The number of series is bounded: beyond `max_series`, new label
+// sets are counted in one series whose label values are all "other". Thread-safe.
 class metrics {
 public:
     explicit metrics(std::size_t max_series = 4096);
@@ -25,7 +25,7 @@
     void add(const std::string& name, const metric_labels& labels, std::uint64_t amount = 1);
     void set(const std::string& name, const metric_labels& labels, double value);
 
-    // Feeds the latency histogram (Boost.Accumulators, density over fixed buckets) of the series.
+    // Adds a sample to the latency histogram of the series.
     void observe(const std::string& name, const metric_labels& labels,
                  std::chrono::microseconds latency);
 
--- a/adapters/include/pearhaven/adapters/progress_codec.hpp
+++ b/adapters/include/pearhaven/adapters/progress_codec.hpp
@@ -9,8 +9,8 @@
 
 namespace pearhaven::adapters {
 
-// The stored forms of a roll-out's record and evidence: JSON. Reading gives nothing for a text of
-// another form.
+// JSON encoding of a rollout's progress record and of the evidence that routers report for it. The
+// read functions return nothing for text that is not a valid encoding.
 [[nodiscard]] std::string write_progress_record(const coordination::progress_record& record);
 [[nodiscard]] std::optional<coordination::progress_record>
 read_progress_record(std::string_view text);
--- a/adapters/include/pearhaven/adapters/shallow_json.hpp
+++ b/adapters/include/pearhaven/adapters/shallow_json.hpp
@@ -10,18 +10,18 @@
 
 enum class json_fault : std::uint8_t { none, malformed, too_deep };
 
-// JSON that may be copied, compared and printed: each of these goes down a call for each level, and
-// text of some hundred kilobytes holds more levels than a stack has room for.
+// JSON of bounded depth, safe to copy, compare and print: each of these operations recurses once
+// per level, and a text of a few hundred kilobytes can have more levels than fit on the stack.
 struct shallow_json {
-    nlohmann::json value; // `discarded` where there is a fault
+    nlohmann::json value; // `discarded` if there is a fault
     json_fault fault = json_fault::none;
 };
 
-// Levels that no object of a configuration and no page of ours has.
+// Deeper than any configuration object or page of this project.
 inline constexpr int max_json_depth = 16;
 
 [[nodiscard]] shallow_json parse_shallow_json(const std::string& text,
-                                              int deepest = max_json_depth);
+                                              int max_depth = max_json_depth);
 
 } // namespace pearhaven::adapters
 
--- a/adapters/include/pearhaven/adapters/stored_values.hpp
+++ b/adapters/include/pearhaven/adapters/stored_values.hpp
@@ -11,16 +11,16 @@
 
 namespace pearhaven::adapters {
 
-// The stored forms of coordination's values: JSON, so that operators can read them in the store.
-// Equal values give equal text; bytes that are not UTF-8 are replaced. Text that is not such a
-// value, with every field of its type, gives nothing, never an exception.
+// JSON encoding of the values that coordination stores, readable by operators. Equal values have
+// equal text; bytes that are not UTF-8 are replaced. Reading returns nothing, and never throws, for
+// text that is not an encoding of the type with all its fields.
 std::unique_ptr<coordination::config_head_codec> make_config_head_codec();
 std::unique_ptr<coordination::bill_page_codec> make_bill_page_codec();
 std::unique_ptr<coordination::member_codec> make_member_codec();
 std::unique_ptr<coordination::duty_codec> make_duty_codec();
 
-// A claim's outcome comes back byte for byte, also where it is not UTF-8: it is what a resending
-// caller is answered with.
+// Preserves the outcome of a claim byte for byte, even when it is not UTF-8, because a caller that
+// resends its request is answered with it.
 std::unique_ptr<coordination::claim_codec> make_claim_codec();
 
 } // namespace pearhaven::adapters
--- a/adapters/src/authenticator.cpp
+++ b/adapters/src/authenticator.cpp
@@ -12,7 +12,7 @@
 
 using derived_key = std::array<unsigned char, crypto_auth_KEYBYTES>;
 
-// Separates session keys from whatever else is derived from the fleet key.
+// Domain separation of session keys from other keys derived from the fleet key.
 constexpr char key_context[crypto_kdf_CONTEXTBYTES + 1] = "phsessn1";
 
 std::string to_hex(const unsigned char* bytes, std::size_t size)
--- a/adapters/src/configuration_codec.cpp
+++ b/adapters/src/configuration_codec.cpp
@@ -20,7 +20,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t largest_body = 64U << 10U;
+constexpr std::size_t max_body_bytes = 64U << 10U;
 
 const line_map no_lines;
 
@@ -48,7 +48,7 @@
     }
 }
 
-// The labels and the spec below `root`, checked. Nothing when they have a fault.
+// Checks the labels and the spec below `root`. Returns nothing if there is a fault.
 std::optional<object_parts> check_parts(const kind_schema& schema, const std::string& name,
                                         const json& root, fault_collector& faults)
 {
@@ -60,7 +60,7 @@
         return std::nullopt;
     }
     object_parts parts{name, to_labels(labels), std::move(canonical)};
-    schema.check_whole(parts, faults);
+    schema.check_consistency(parts, faults);
     if (!faults.empty()) {
         return std::nullopt;
     }
@@ -69,9 +69,9 @@
 
 void check_size(const std::string& body, fault_collector& faults)
 {
-    if (body.size() > largest_body) {
+    if (body.size() > max_body_bytes) {
         faults.add("", std::to_string(body.size()) + " bytes",
-                   "an object of at most " + std::to_string(largest_body) + " bytes");
+                   "an object of at most " + std::to_string(max_body_bytes) + " bytes");
     }
 }
 
@@ -97,7 +97,7 @@
     return schema;
 }
 
-// One YAML document as a stored object. Nothing when it has a fault.
+// Converts one YAML document to a stored object. Returns nothing if there is a fault.
 std::optional<coordination::config_object> read_document(const json& root, fault_collector& faults)
 {
     if (!root.is_object()) {
@@ -123,7 +123,8 @@
     return coordination::config_object{schema->kind, parts->name, std::move(body)};
 }
 
-// Nested deeper than any object is, a body would exhaust the stack of whoever prints it.
+// Rejects bodies nested deeper than any valid object: printing them recursively would overflow the
+// stack.
 std::optional<json> parse_body(const std::string& body, fault_collector& faults)
 {
     check_size(body, faults);
@@ -140,7 +141,7 @@
     return std::move(read.value);
 }
 
-// A stored object's parts. Nothing when it has a fault, or is deleted.
+// Returns the parts of a stored object, or nothing if it has a fault or is deleted.
 std::optional<object_parts> read_object(const coordination::config_object& object,
                                         fault_collector& faults)
 {
@@ -193,8 +194,8 @@
 
 std::vector<configuration_fault> check_object(const coordination::config_object& object)
 {
-    const std::string place = object_key(object.kind, object.name);
-    fault_collector faults(place, no_lines);
+    const std::string location = object_key(object.kind, object.name);
+    fault_collector faults(location, no_lines);
     read_object(object, faults);
     return faults.take();
 }
@@ -206,8 +207,8 @@
     decision::configuration_builder builder;
     builder.revision(revision);
     for (const auto& object : objects) {
-        const std::string place = object_key(object.kind, object.name);
-        fault_collector faults(place, no_lines);
+        const std::string location = object_key(object.kind, object.name);
+        fault_collector faults(location, no_lines);
         const auto parts = read_object(object, faults);
         if (parts && faults.empty()) {
             find_kind(object.kind)->add_to(builder, *parts);
--- a/adapters/src/configuration_codec_faults.cpp
+++ b/adapters/src/configuration_codec_faults.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t longest_shown = 60;
+constexpr std::size_t max_shown_bytes = 60;
 
 } // namespace
 
@@ -24,8 +24,8 @@
         return "nothing";
     }
     std::string text = value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    if (text.size() > longest_shown) {
-        text.resize(longest_shown);
+    if (text.size() > max_shown_bytes) {
+        text.resize(max_shown_bytes);
         text += "...";
     }
     return text;
@@ -37,23 +37,23 @@
 
 void fault_collector::add(const std::string& path, std::string found, std::string allowed)
 {
-    const auto here = this->lines.find(path);
-    const int line = here != this->lines.end() ? here->second.value : this->line_around(path);
+    const auto entry = this->lines.find(path);
+    const int line = entry != this->lines.end() ? entry->second.value : this->nearest_line(path);
     this->faults.push_back({this->file, line, path, std::move(found), std::move(allowed)});
 }
 
 void fault_collector::add_at_key(const std::string& path, std::string found, std::string allowed)
 {
-    const int line = this->line_around(path);
+    const int line = this->nearest_line(path);
     this->faults.push_back({this->file, line, path, std::move(found), std::move(allowed)});
 }
 
-int fault_collector::line_around(std::string path) const
+int fault_collector::nearest_line(std::string path) const
 {
     while (true) {
-        const auto here = this->lines.find(path);
-        if (here != this->lines.end()) {
-            return here->second.key;
+        const auto entry = this->lines.find(path);
+        if (entry != this->lines.end()) {
+            return entry->second.key;
         }
         if (path.empty()) {
             return 0;
--- a/adapters/src/configuration_codec_kinds.cpp
+++ b/adapters/src/configuration_codec_kinds.cpp
@@ -9,20 +9,21 @@
 
 using nlohmann::json;
 
-constexpr std::uint64_t most_requests = 1'000'000;
-constexpr std::uint64_t most_traffic = 1'000'000;
-constexpr std::uint64_t most_callers = 1'000'000'000;
-constexpr std::uint64_t most_steps = 1'000'000;
-constexpr std::uint64_t most_runs = 1ULL << 53U; // revisions; numbers that JSON readers keep whole
-constexpr std::uint64_t most_routers = 1'000'000;
+constexpr std::uint64_t max_requests = 1'000'000;
+constexpr std::uint64_t max_traffic = 1'000'000;
+constexpr std::uint64_t max_callers = 1'000'000'000;
+constexpr std::uint64_t max_steps = 1'000'000;
+constexpr std::uint64_t max_runs = 1ULL
+                                   << 53U; // revisions; JSON readers keep integers exact up to here
+constexpr std::uint64_t max_routers = 1'000'000;
 constexpr std::uint64_t week_seconds = 604'800;
-constexpr std::uint64_t most_key_number = 0xffff'ffff;
-constexpr double most_weight = 1e6;
-constexpr double most_cost = 1e12;
+constexpr std::uint64_t max_key_number = 0xffff'ffff;
+constexpr double max_weight = 1e6;
+constexpr double max_cost = 1e12;
 
 constexpr bool required = true;
 
-// Copies the field into the member, which keeps its default where the field is not there.
+// Copies the field to the member, which keeps its default if the field is absent.
 template <class Value>
 void read(const json& spec, const char* field, Value& member)
 {
@@ -47,32 +48,32 @@
     member = std::move(chosen);
 }
 
-void check_nothing_more(const object_parts& /*object*/, fault_collector& /*faults*/) {}
+void no_consistency_check(const object_parts& /*object*/, fault_collector& /*faults*/) {}
 
 void add_team(decision::configuration_builder& builder, const object_parts& object)
 {
-    decision::team made;
-    made.name = object.name;
-    made.tags = object.tags;
-    read(object.spec, "key_sha256", made.key_sha256);
-    read(object.spec, "weight", made.weight);
-    read(object.spec, "max_in_flight", made.max_in_flight);
-    read(object.spec, "versions", made.versions);
-    builder.add(std::move(made));
+    decision::team result;
+    result.name = object.name;
+    result.tags = object.tags;
+    read(object.spec, "key_sha256", result.key_sha256);
+    read(object.spec, "weight", result.weight);
+    read(object.spec, "max_in_flight", result.max_in_flight);
+    read(object.spec, "versions", result.versions);
+    builder.add(std::move(result));
 }
 
 kind_schema team_schema()
 {
     return {"team",
             {{"key_sha256", list_of(sha256_digest(), 0)},
-             {"weight", number_above(0, most_weight)},
-             {"max_in_flight", whole_number(1, most_requests)},
+             {"weight", number_above(0, max_weight)},
+             {"max_in_flight", whole_number(1, max_requests)},
              {"versions", selector_map()}},
-            check_nothing_more,
+            no_consistency_check,
             add_team};
 }
 
-// The router sets these two itself, so that selectors can rely on them.
+// The router sets these two labels itself, so that selectors can rely on them.
 void check_version(const object_parts& object, fault_collector& faults)
 {
     for (const char* reserved : {"model", "version"}) {
@@ -85,15 +86,15 @@
 
 void add_version(decision::configuration_builder& builder, const object_parts& object)
 {
-    decision::version made;
-    made.name = object.name;
-    made.tags = object.tags;
-    read(object.spec, "model", made.model);
-    read(object.spec, "fallback", made.fallback);
-    read(object.spec, "withdrawn", made.withdrawn);
-    read(object.spec, "cost_per_token", made.cost_per_token);
-    read(object.spec, "traffic", made.traffic);
-    builder.add(std::move(made));
+    decision::version result;
+    result.name = object.name;
+    result.tags = object.tags;
+    read(object.spec, "model", result.model);
+    read(object.spec, "fallback", result.fallback);
+    read(object.spec, "withdrawn", result.withdrawn);
+    read(object.spec, "cost_per_token", result.cost_per_token);
+    read(object.spec, "traffic", result.traffic);
+    builder.add(std::move(result));
 }
 
 kind_schema version_schema()
@@ -102,23 +103,23 @@
             {{"model", object_name(), required},
              {"fallback", optional_object_name()},
              {"withdrawn", flag()},
-             {"cost_per_token", number_at_least(0, most_cost)},
-             {"traffic", whole_number(0, most_traffic)}},
+             {"cost_per_token", number_at_least(0, max_cost)},
+             {"traffic", whole_number(0, max_traffic)}},
             check_version,
             add_version};
 }
 
 void add_pool(decision::configuration_builder& builder, const object_parts& object)
 {
-    decision::pool made;
-    made.name = object.name;
-    made.tags = object.tags;
-    read(object.spec, "hosts", made.hosts);
-    read(object.spec, "versions", made.versions);
-    read(object.spec, "slots_per_host", made.slots_per_host);
-    read(object.spec, "long_share", made.long_share);
-    read(object.spec, "checks_fencing", made.checks_fencing);
-    builder.add(std::move(made));
+    decision::pool result;
+    result.name = object.name;
+    result.tags = object.tags;
+    read(object.spec, "hosts", result.hosts);
+    read(object.spec, "versions", result.versions);
+    read(object.spec, "slots_per_host", result.slots_per_host);
+    read(object.spec, "long_share", result.long_share);
+    read(object.spec, "checks_fencing", result.checks_fencing);
+    builder.add(std::move(result));
 }
 
 kind_schema pool_schema()
@@ -126,23 +127,23 @@
     return {"pool",
             {{"hosts", selector_map()},
              {"versions", selector_map()},
-             {"slots_per_host", whole_number(1, most_requests)},
+             {"slots_per_host", whole_number(1, max_requests)},
              {"long_share", number_at_least(0, 1)},
              {"checks_fencing", flag()}},
-            check_nothing_more,
+            no_consistency_check,
             add_pool};
 }
 
 void add_service(decision::configuration_builder& builder, const object_parts& object)
 {
-    decision::service made;
-    made.name = object.name;
-    made.tags = object.tags;
-    read(object.spec, "hosts", made.hosts);
-    read(object.spec, "teams", made.teams);
-    read(object.spec, "idempotent", made.idempotent);
-    read(object.spec, "idempotent_methods", made.idempotent_methods);
-    builder.add(std::move(made));
+    decision::service result;
+    result.name = object.name;
+    result.tags = object.tags;
+    read(object.spec, "hosts", result.hosts);
+    read(object.spec, "teams", result.teams);
+    read(object.spec, "idempotent", result.idempotent);
+    read(object.spec, "idempotent_methods", result.idempotent_methods);
+    builder.add(std::move(result));
 }
 
 kind_schema service_schema()
@@ -152,7 +153,7 @@
              {"teams", selector_map()},
              {"idempotent", flag()},
              {"idempotent_methods", list_of(http_method(), 0)}},
-            check_nothing_more,
+            no_consistency_check,
             add_service};
 }
 
@@ -165,7 +166,7 @@
                                           {"done", decision::rollout_state::done},
                                           {"rolled_back", decision::rollout_state::rolled_back}};
 
-// Null where no state has the name.
+// Null for an unknown name.
 const named_state* find_rollout_state(const std::string& name)
 {
     const auto* const found =
@@ -201,35 +202,35 @@
 
 decision::rollout make_rollout(const object_parts& object)
 {
-    decision::rollout made;
-    made.name = object.name;
-    read(object.spec, "from", made.from);
-    read(object.spec, "to", made.to);
-    read(object.spec, "step_callers", made.step_callers);
-    read(object.spec, "step_seconds", made.step_seconds);
-    read(object.spec, "max_error_rate", made.max_error_rate);
-    read(object.spec, "base_error_rate", made.base_error_rate);
-    read(object.spec, "paused", made.paused);
-    read(object.spec, "state", made.state);
-    read(object.spec, "step", made.step);
-    read(object.spec, "run", made.run);
-    read(object.spec, "routers", made.routers);
-    return made;
+    decision::rollout result;
+    result.name = object.name;
+    read(object.spec, "from", result.from);
+    read(object.spec, "to", result.to);
+    read(object.spec, "step_callers", result.step_callers);
+    read(object.spec, "step_seconds", result.step_seconds);
+    read(object.spec, "max_error_rate", result.max_error_rate);
+    read(object.spec, "base_error_rate", result.base_error_rate);
+    read(object.spec, "paused", result.paused);
+    read(object.spec, "state", result.state);
+    read(object.spec, "step", result.step);
+    read(object.spec, "run", result.run);
+    read(object.spec, "routers", result.routers);
+    return result;
 }
 
 void check_rollout(const object_parts& object, fault_collector& faults)
 {
-    const decision::rollout made = make_rollout(object);
-    if (!std::is_sorted(made.step_callers.begin(), made.step_callers.end())) {
+    const decision::rollout result = make_rollout(object);
+    if (!std::is_sorted(result.step_callers.begin(), result.step_callers.end())) {
         faults.add("spec.step_callers", shown(object.spec["step_callers"]),
                    "numbers that do not fall from one step to the next");
     }
-    if (made.base_error_rate >= made.max_error_rate) {
-        faults.add("spec.base_error_rate", shown(made.base_error_rate),
-                   "a number below max_error_rate, which is " + shown(made.max_error_rate));
+    if (result.base_error_rate >= result.max_error_rate) {
+        faults.add("spec.base_error_rate", shown(result.base_error_rate),
+                   "a number below max_error_rate, which is " + shown(result.max_error_rate));
     }
-    if (made.from == made.to) {
-        faults.add("spec.to", shown(made.to), "another version than the one in from");
+    if (result.from == result.to) {
+        faults.add("spec.to", shown(result.to), "another version than the one in from");
     }
 }
 
@@ -243,15 +244,15 @@
     return {"rollout",
             {{"from", object_name(), required},
              {"to", object_name(), required},
-             {"step_callers", list_of(whole_number(1, most_callers), 1), required},
+             {"step_callers", list_of(whole_number(1, max_callers), 1), required},
              {"step_seconds", whole_number(1, week_seconds)},
              {"max_error_rate", number_between(0, 1)},
              {"base_error_rate", number_between(0, 1)},
              {"paused", flag()},
              {"state", std::make_shared<rollout_state_rule>()},
-             {"step", whole_number(0, most_steps)},
-             {"run", whole_number(0, most_runs)},
-             {"routers", whole_number(0, most_routers)}},
+             {"step", whole_number(0, max_steps)},
+             {"run", whole_number(0, max_runs)},
+             {"routers", whole_number(0, max_routers)}},
             check_rollout,
             add_rollout};
 }
@@ -266,14 +267,14 @@
 
 void add_cascade(decision::configuration_builder& builder, const object_parts& object)
 {
-    decision::cascade made;
-    made.name = object.name;
-    read(object.spec, "model", made.model);
-    read(object.spec, "teams", made.teams);
-    read(object.spec, "cheap", made.cheap);
-    read(object.spec, "costly", made.costly);
-    read(object.spec, "quality_target", made.quality_target);
-    builder.add(std::move(made));
+    decision::cascade result;
+    result.name = object.name;
+    read(object.spec, "model", result.model);
+    read(object.spec, "teams", result.teams);
+    read(object.spec, "cheap", result.cheap);
+    read(object.spec, "costly", result.costly);
+    read(object.spec, "quality_target", result.quality_target);
+    builder.add(std::move(result));
 }
 
 kind_schema cascade_schema()
@@ -288,7 +289,8 @@
             add_cascade};
 }
 
-// There is one list of session keys; a second object would leave open which of them is in force.
+// There is only one list of session keys; with a second object, it would be ambiguous which list
+// applies.
 void check_session_keys(const object_parts& object, fault_collector& faults)
 {
     if (object.name != "default") {
@@ -309,7 +311,7 @@
 kind_schema session_keys_schema()
 {
     return {"session_keys",
-            {{"numbers", list_of(whole_number(1, most_key_number), 1), required}},
+            {{"numbers", list_of(whole_number(1, max_key_number), 1), required}},
             check_session_keys,
             add_session_keys};
 }
--- a/adapters/src/configuration_codec_kinds.hpp
+++ b/adapters/src/configuration_codec_kinds.hpp
@@ -20,32 +20,33 @@
     bool required = false;
 };
 
-// The parts of an object that is free of faults, in canonical form.
+// Parts of a valid object, in canonical form.
 struct object_parts {
     std::string name;
     decision::labels tags;
     nlohmann::json spec;
 };
 
-// What an object of one kind may hold, and how it becomes part of a configuration.
+// The fields that objects of one kind may have, and how such an object is added to a configuration.
 struct kind_schema {
     std::string kind;
     std::vector<field_schema> fields;
 
-    // Faults that lie between the fields of one object; called when each field is right by itself.
-    void (*check_whole)(const object_parts& object, fault_collector& faults);
+    // Checks the fields of one object against each other; called when each field is valid by
+    // itself.
+    void (*check_consistency)(const object_parts& object, fault_collector& faults);
     void (*add_to)(decision::configuration_builder& builder, const object_parts& object);
 };
 
 const std::vector<kind_schema>& kind_schemas();
 
-// Null for a kind that there is not.
+// Null for an unknown kind.
 const kind_schema* find_kind(std::string_view kind);
 
 // "one of team, version, ..."
 std::string allowed_kinds();
 
-// Checks the spec against the kind's fields and returns its canonical form.
+// Checks the spec against the fields of the kind and returns its canonical form.
 nlohmann::json check_spec(const kind_schema& schema, const nlohmann::json& spec,
                           fault_collector& faults);
 
--- a/adapters/src/configuration_codec_references.cpp
+++ b/adapters/src/configuration_codec_references.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Gathers what one object says of others that are not there or do not fit.
+// Collects the references of objects to other objects that are missing or do not match.
 class reference_check {
 public:
     explicit reference_check(const decision::configuration& all) : current(all) {}
@@ -28,7 +28,7 @@
     }
 
 private:
-    // A key that two teams hold would bill one for what the other asks.
+    // If two teams shared a key, one team would be billed for the requests of the other.
     void check_team_keys()
     {
         std::map<std::string, std::string> holder;
@@ -49,49 +49,50 @@
         if (object.fallback.empty()) {
             return;
         }
-        const std::string place = "version/" + object.name;
+        const std::string location = "version/" + object.name;
         if (object.fallback == object.name) {
-            this->add(place, "spec.fallback", "the version itself", "another version");
+            this->add(location, "spec.fallback", "the version itself", "another version");
             return;
         }
-        this->check_same_model(place, "spec.fallback", object.fallback, object.model);
+        this->check_same_model(location, "spec.fallback", object.fallback, object.model);
     }
 
     void check_rollout(const decision::rollout& object)
     {
-        const std::string place = "rollout/" + object.name;
-        const decision::version* const from = this->check_version(place, "spec.from", object.from);
+        const std::string location = "rollout/" + object.name;
+        const decision::version* const from =
+            this->check_version(location, "spec.from", object.from);
         if (from == nullptr) {
-            this->check_version(place, "spec.to", object.to);
+            this->check_version(location, "spec.to", object.to);
             return;
         }
-        this->check_same_model(place, "spec.to", object.to, from->model);
+        this->check_same_model(location, "spec.to", object.to, from->model);
     }
 
-    void check_same_model(const std::string& place, const std::string& field,
+    void check_same_model(const std::string& location, const std::string& field,
                           const std::string& name, const std::string& model)
     {
-        const decision::version* const found = this->check_version(place, field, name);
+        const decision::version* const found = this->check_version(location, field, name);
         if (found != nullptr && found->model != model) {
-            this->add(place, field, "\"" + name + "\" of model " + found->model,
+            this->add(location, field, "\"" + name + "\" of model " + found->model,
                       "a version of model " + model);
         }
     }
 
-    const decision::version* check_version(const std::string& place, const std::string& field,
+    const decision::version* check_version(const std::string& location, const std::string& field,
                                            const std::string& name)
     {
         const decision::version* const found = this->current.find_version(name);
         if (found == nullptr) {
-            this->add(place, field, "\"" + name + "\"", "the name of a version that is there");
+            this->add(location, field, "\"" + name + "\"", "the name of a version that is there");
         }
         return found;
     }
 
-    void add(std::string place, std::string field, std::string found, std::string allowed)
+    void add(std::string location, std::string field, std::string found, std::string allowed)
     {
         this->faults.push_back(
-            {std::move(place), 0, std::move(field), std::move(found), std::move(allowed)});
+            {std::move(location), 0, std::move(field), std::move(found), std::move(allowed)});
     }
 
     const decision::configuration& current;
--- a/adapters/src/configuration_codec_rules.cpp
+++ b/adapters/src/configuration_codec_rules.cpp
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t longest_name = 63;
-constexpr std::size_t longest_label_value = 253;
+constexpr std::size_t max_name_bytes = 63;
+constexpr std::size_t max_label_value_bytes = 253;
 constexpr std::size_t sha256_digits = 64;
 constexpr std::array<std::string_view, 7> http_methods = {"GET",  "HEAD",   "OPTIONS", "PUT",
                                                           "POST", "DELETE", "PATCH"};
@@ -41,13 +41,13 @@
         return is_digit(letter) || is_lower(letter) || is_upper(letter) || letter == '-' ||
                letter == '_' || letter == '.' || letter == '/';
     };
-    return !text.empty() && text.size() <= longest_name &&
+    return !text.empty() && text.size() <= max_name_bytes &&
            std::all_of(text.begin(), text.end(), fits);
 }
 
 bool is_label_value(const std::string& text)
 {
-    return text.size() <= longest_label_value;
+    return text.size() <= max_label_value_bytes;
 }
 
 bool is_sha256(const std::string& text)
@@ -68,7 +68,7 @@
     return text.empty() || is_object_name(text);
 }
 
-std::string plain(double number)
+std::string format_number(double number)
 {
     std::ostringstream text;
     text << std::setprecision(std::numeric_limits<double>::digits10) << number;
@@ -90,12 +90,12 @@
 
 class whole_number_rule : public value_rule {
 public:
-    whole_number_rule(std::uint64_t low, std::uint64_t high) : least(low), most(high) {}
+    whole_number_rule(std::uint64_t low, std::uint64_t high) : min(low), max(high) {}
 
     [[nodiscard]] std::string allowed() const override
     {
-        return "a whole number from " + std::to_string(this->least) + " to " +
-               std::to_string(this->most);
+        return "a whole number from " + std::to_string(this->min) + " to " +
+               std::to_string(this->max);
     }
 
     json check(const json& value, const std::string& path, fault_collector& faults) const override
@@ -117,23 +117,23 @@
             return false;
         }
         const auto number = value.get<std::uint64_t>();
-        return number >= this->least && number <= this->most;
+        return number >= this->min && number <= this->max;
     }
 
-    std::uint64_t least;
-    std::uint64_t most;
+    std::uint64_t min;
+    std::uint64_t max;
 };
 
 enum class bounds { closed, open_below, open };
 
 class number_rule : public value_rule {
 public:
-    number_rule(double low, double high, bounds ends) : least(low), most(high), limits(ends) {}
+    number_rule(double low, double high, bounds ends) : min(low), max(high), limits(ends) {}
 
     [[nodiscard]] std::string allowed() const override
     {
-        const std::string low = plain(this->least);
-        const std::string high = plain(this->most);
+        const std::string low = format_number(this->min);
+        const std::string high = format_number(this->max);
         switch (this->limits) {
         case bounds::closed:
             return "a number from " + low + " to " + high;
@@ -160,14 +160,13 @@
         if (!std::isfinite(number)) {
             return false;
         }
-        const bool low =
-            this->limits == bounds::closed ? number >= this->least : number > this->least;
-        const bool high = this->limits == bounds::open ? number < this->most : number <= this->most;
+        const bool low = this->limits == bounds::closed ? number >= this->min : number > this->min;
+        const bool high = this->limits == bounds::open ? number < this->max : number <= this->max;
         return low && high;
     }
 
-    double least;
-    double most;
+    double min;
+    double max;
     bounds limits;
 };
 
@@ -175,7 +174,9 @@
 public:
     using predicate = bool (*)(const std::string&);
 
-    text_rule(predicate test, std::string words) : holds(test), description(std::move(words)) {}
+    text_rule(predicate test, std::string allowed_text)
+        : holds(test), description(std::move(allowed_text))
+    {}
 
     [[nodiscard]] std::string allowed() const override { return this->description; }
 
@@ -194,19 +195,19 @@
 
 class list_rule : public value_rule {
 public:
-    list_rule(value_rule_ptr inner, std::size_t minimum) : element(std::move(inner)), least(minimum)
+    list_rule(value_rule_ptr inner, std::size_t minimum) : element(std::move(inner)), min(minimum)
     {}
 
     [[nodiscard]] std::string allowed() const override
     {
         const std::string count =
-            this->least > 0 ? " with at least " + std::to_string(this->least) + " entry" : "";
+            this->min > 0 ? " with at least " + std::to_string(this->min) + " entry" : "";
         return "a list" + count + ", each of them " + this->element->allowed();
     }
 
     json check(const json& value, const std::string& path, fault_collector& faults) const override
     {
-        if (!value.is_array() || value.size() < this->least) {
+        if (!value.is_array() || value.size() < this->min) {
             faults.add(path, shown(value), this->allowed());
             return value;
         }
@@ -220,13 +221,13 @@
 
 private:
     value_rule_ptr element;
-    std::size_t least;
+    std::size_t min;
 };
 
 value_rule_ptr label_value()
 {
     return std::make_shared<text_rule>(is_label_value,
-                                       "text of at most " + std::to_string(longest_label_value) +
+                                       "text of at most " + std::to_string(max_label_value_bytes) +
                                            " bytes (in quotes where it looks like a number)");
 }
 
@@ -234,7 +235,7 @@
 {
     if (!is_label_name(name)) {
         faults.add_at_key(path, shown(name),
-                          "a label name of 1 to " + std::to_string(longest_name) +
+                          "a label name of 1 to " + std::to_string(max_name_bytes) +
                               " letters, digits and any of -_./");
     }
 }
@@ -273,7 +274,7 @@
         if (value == "all") {
             return value;
         }
-        // An empty map is refused: one reader would take it for everything, the next for nothing.
+        // An empty map is rejected because it is ambiguous: it could mean everything or nothing.
         if (!value.is_object() || value.empty()) {
             faults.add(path, shown(value), this->allowed());
             return value;
@@ -311,7 +312,7 @@
 bool is_object_name(const std::string& text)
 {
     const auto fits = [](char letter) { return is_digit(letter) || is_lower(letter); };
-    if (text.empty() || text.size() > longest_name || !fits(text.front())) {
+    if (text.empty() || text.size() > max_name_bytes || !fits(text.front())) {
         return false;
     }
     return std::all_of(text.begin(), text.end(),
@@ -323,24 +324,24 @@
     return std::make_shared<flag_rule>();
 }
 
-value_rule_ptr whole_number(std::uint64_t least, std::uint64_t most)
+value_rule_ptr whole_number(std::uint64_t min, std::uint64_t max)
 {
-    return std::make_shared<whole_number_rule>(least, most);
+    return std::make_shared<whole_number_rule>(min, max);
 }
 
-value_rule_ptr number_at_least(double least, double most)
+value_rule_ptr number_at_least(double min, double max)
 {
-    return std::make_shared<number_rule>(least, most, bounds::closed);
+    return std::make_shared<number_rule>(min, max, bounds::closed);
 }
 
-value_rule_ptr number_above(double least, double most)
+value_rule_ptr number_above(double min, double max)
 {
-    return std::make_shared<number_rule>(least, most, bounds::open_below);
+    return std::make_shared<number_rule>(min, max, bounds::open_below);
 }
 
-value_rule_ptr number_between(double least, double most)
+value_rule_ptr number_between(double min, double max)
 {
-    return std::make_shared<number_rule>(least, most, bounds::open);
+    return std::make_shared<number_rule>(min, max, bounds::open);
 }
 
 value_rule_ptr object_name()
@@ -369,9 +370,9 @@
                                        "one of GET, HEAD, OPTIONS, PUT, POST, DELETE, PATCH");
 }
 
-value_rule_ptr list_of(value_rule_ptr element, std::size_t least)
+value_rule_ptr list_of(value_rule_ptr element, std::size_t min)
 {
-    return std::make_shared<list_rule>(std::move(element), least);
+    return std::make_shared<list_rule>(std::move(element), min);
 }
 
 value_rule_ptr label_map()
--- a/adapters/src/configuration_codec_yaml.cpp
+++ b/adapters/src/configuration_codec_yaml.cpp
@@ -15,14 +15,15 @@
 
 using nlohmann::json;
 
-constexpr std::size_t largest_text = std::size_t{8} << 20U;
-constexpr std::size_t deepest_nesting = 16;
+constexpr std::size_t max_text_bytes = std::size_t{8} << 20U;
+constexpr std::size_t max_nesting = 16;
 
-// Aliases let a short text unfold into more than the memory holds; so what they unfold to counts.
-constexpr std::size_t largest_document = std::size_t{128} << 10U;
+// Aliases can expand a short text to more than fits in memory, so the limit applies to the expanded
+// size.
+constexpr std::size_t max_document_size = std::size_t{128} << 10U;
 
-// A longer run of digits is a digest or an identifier, not a number.
-constexpr std::size_t longest_number = 32;
+// A longer sequence of digits is a digest or an identifier, not a number.
+constexpr std::size_t max_number_length = 32;
 
 template <class Number>
 std::optional<Number> parse_number(std::string_view text)
@@ -38,7 +39,7 @@
 
 bool looks_like_a_number(std::string_view text)
 {
-    if (text.empty() || text.size() > longest_number) {
+    if (text.empty() || text.size() > max_number_length) {
         return false;
     }
     const std::size_t start = text.front() == '-' ? 1 : 0;
@@ -57,8 +58,8 @@
         return false;
     }
     if (looks_like_a_number(text)) {
-        if (const auto whole = parse_number<std::int64_t>(text)) {
-            return *whole;
+        if (const auto integer = parse_number<std::int64_t>(text)) {
+            return *integer;
         }
         if (const auto real = parse_number<double>(text)) {
             return *real;
@@ -67,7 +68,7 @@
     return text;
 }
 
-// Values and bytes of text in it: a measure of the memory that it takes.
+// Number of values plus bytes of text, as a measure of memory use.
 std::size_t size_of(const json& value)
 {
     if (value.is_string()) {
@@ -82,32 +83,32 @@
     return size;
 }
 
-// Ends the reading of a text that cannot be read on.
+// Aborts the parsing of a text.
 class unreadable_text : public std::exception {
 public:
-    explicit unreadable_text(configuration_fault what_is_wrong) : fault(std::move(what_is_wrong)) {}
+    explicit unreadable_text(configuration_fault cause) : fault(std::move(cause)) {}
 
     configuration_fault fault;
 };
 
-// Takes the parser's events and makes a JSON value of each document, with the lines of its parts.
+// Converts the parser's events to one JSON value per document, with the line numbers of its parts.
 class document_handler : public YAML::EventHandler {
 public:
     document_handler(const std::string& file_name, std::vector<configuration_fault>& fault_list)
         : file(file_name), faults(fault_list)
     {}
 
-    // The finished document; nothing when the text ended without another.
+    // Returns the finished document, or nothing if the text ended without another document.
     std::optional<yaml_document> take() { return std::exchange(this->finished, std::nullopt); }
 
-    // The parser of yaml-cpp 0.7 does not move on where a document starts with a stray "," or "}":
-    // it would report empty documents from there until the memory is full.
+    // yaml-cpp 0.7 does not advance when a document starts with a stray "," or "}": it would report
+    // empty documents until memory is exhausted.
     void OnDocumentStart(const YAML::Mark& mark) override
     {
-        if (mark.pos == this->last_start) {
-            this->refuse(mark, "", "a character that no document starts with", "YAML documents");
+        if (mark.pos == this->last_start_position) {
+            this->reject(mark, "", "a character that no document starts with", "YAML documents");
         }
-        this->last_start = mark.pos;
+        this->last_start_position = mark.pos;
         this->size = 0;
         this->anchors.clear();
         this->document = yaml_document();
@@ -117,28 +118,28 @@
 
     void OnNull(const YAML::Mark& mark, YAML::anchor_t anchor) override
     {
-        this->refuse_as_name(mark);
-        this->grow(mark, 1);
-        this->place(nullptr, this->value_line_of_nothing(mark), anchor);
+        this->reject_as_field_name(mark);
+        this->add_size(mark, 1);
+        this->add_value(nullptr, this->line_of_empty_value(mark), anchor);
     }
 
     void OnAlias(const YAML::Mark& mark, YAML::anchor_t anchor) override
     {
-        this->refuse_as_name(mark);
+        this->reject_as_field_name(mark);
         const json& repeated = this->anchors[anchor];
-        this->grow(mark, size_of(repeated));
-        this->place(repeated, line_of(mark), 0);
+        this->add_size(mark, size_of(repeated));
+        this->add_value(repeated, line_of(mark), 0);
     }
 
     void OnScalar(const YAML::Mark& mark, const std::string& tag, YAML::anchor_t anchor,
                   const std::string& text) override
     {
-        if (this->expects_name()) {
+        if (this->expects_field_name()) {
             this->start_field(mark, text);
             return;
         }
-        this->grow(mark, 1 + text.size());
-        this->place(tag == "?" ? plain_scalar(text) : json(text), line_of(mark), anchor);
+        this->add_size(mark, 1 + text.size());
+        this->add_value(tag == "?" ? plain_scalar(text) : json(text), line_of(mark), anchor);
     }
 
     void OnSequenceStart(const YAML::Mark& mark, const std::string& /*tag*/, YAML::anchor_t anchor,
@@ -158,26 +159,26 @@
     void OnMapEnd() override { this->close(); }
 
 private:
-    // A list or map whose end has not come yet.
+    // A list or map whose end event has not been received yet.
     struct open_value {
         json value;
         std::string path;
         int line = 0;
         YAML::anchor_t anchor = 0;
-        std::optional<std::string> field; // of a map: the name whose value comes next
+        std::optional<std::string> field; // for a map: the name of the next value
         int field_line = 0;
     };
 
     static int line_of(const YAML::Mark& mark) { return mark.line + 1; }
 
-    [[nodiscard]] bool expects_name() const
+    [[nodiscard]] bool expects_field_name() const
     {
         return !this->open_values.empty() && this->open_values.back().value.is_object() &&
                !this->open_values.back().field;
     }
 
-    // Where nothing is written, the parser's mark is already that of what comes after.
-    [[nodiscard]] int value_line_of_nothing(const YAML::Mark& mark) const
+    // For an empty value, the parser's mark is already at the following token.
+    [[nodiscard]] int line_of_empty_value(const YAML::Mark& mark) const
     {
         const bool in_map = !this->open_values.empty() && this->open_values.back().field;
         return in_map ? this->open_values.back().field_line : line_of(mark);
@@ -188,18 +189,18 @@
         if (this->open_values.empty()) {
             return "";
         }
-        const open_value& around = this->open_values.back();
-        return around.field ? member_path(around.path, *around.field)
-                            : element_path(around.path, around.value.size());
+        const open_value& parent = this->open_values.back();
+        return parent.field ? member_path(parent.path, *parent.field)
+                            : element_path(parent.path, parent.value.size());
     }
 
     void start_field(const YAML::Mark& mark, const std::string& name)
     {
-        open_value& around = this->open_values.back();
-        around.field = name;
-        around.field_line = line_of(mark);
-        this->grow(mark, name.size());
-        if (around.value.contains(name)) {
+        open_value& parent = this->open_values.back();
+        parent.field = name;
+        parent.field_line = line_of(mark);
+        this->add_size(mark, name.size());
+        if (parent.value.contains(name)) {
             this->faults.push_back({this->file, line_of(mark), this->next_path(),
                                     "the field a second time", "each field once"});
         }
@@ -207,25 +208,25 @@
 
     void open(json empty, const YAML::Mark& mark, YAML::anchor_t anchor)
     {
-        this->refuse_as_name(mark);
+        this->reject_as_field_name(mark);
         const std::string path = this->next_path();
-        if (this->open_values.size() >= deepest_nesting) {
-            this->refuse(mark, path, "deeper nesting",
-                         "values nested " + std::to_string(deepest_nesting) + " deep at most");
+        if (this->open_values.size() >= max_nesting) {
+            this->reject(mark, path, "deeper nesting",
+                         "values nested " + std::to_string(max_nesting) + " deep at most");
         }
-        this->grow(mark, 1);
+        this->add_size(mark, 1);
         this->open_values.push_back(
             {std::move(empty), path, line_of(mark), anchor, std::nullopt, 0});
     }
 
     void close()
     {
-        open_value whole = std::move(this->open_values.back());
+        open_value closed = std::move(this->open_values.back());
         this->open_values.pop_back();
-        this->place(std::move(whole.value), whole.line, whole.anchor);
+        this->add_value(std::move(closed.value), closed.line, closed.anchor);
     }
 
-    void place(json value, int line, YAML::anchor_t anchor)
+    void add_value(json value, int line, YAML::anchor_t anchor)
     {
         if (anchor != 0) {
             this->anchors[anchor] = value;
@@ -236,35 +237,35 @@
             return;
         }
         const std::string path = this->next_path();
-        open_value& around = this->open_values.back();
-        if (!around.field) {
+        open_value& parent = this->open_values.back();
+        if (!parent.field) {
             this->document.lines[path] = {line, line};
-            around.value.push_back(std::move(value));
+            parent.value.push_back(std::move(value));
             return;
         }
-        this->document.lines[path] = {around.field_line, line};
-        around.value[*around.field] = std::move(value);
-        around.field.reset();
+        this->document.lines[path] = {parent.field_line, line};
+        parent.value[*parent.field] = std::move(value);
+        parent.field.reset();
     }
 
-    void grow(const YAML::Mark& mark, std::size_t more)
+    void add_size(const YAML::Mark& mark, std::size_t more)
     {
         this->size += more;
-        if (this->size > largest_document) {
-            this->refuse(mark, this->next_path(), "more values and text than that",
-                         "a document of at most " + std::to_string(largest_document) + " bytes");
+        if (this->size > max_document_size) {
+            this->reject(mark, this->next_path(), "more values and text than that",
+                         "a document of at most " + std::to_string(max_document_size) + " bytes");
         }
     }
 
-    void refuse_as_name(const YAML::Mark& mark) const
+    void reject_as_field_name(const YAML::Mark& mark) const
     {
-        if (this->expects_name()) {
-            this->refuse(mark, this->open_values.back().path,
+        if (this->expects_field_name()) {
+            this->reject(mark, this->open_values.back().path,
                          "a field whose name is not plain text", "text as the name of each field");
         }
     }
 
-    [[noreturn]] void refuse(const YAML::Mark& mark, const std::string& path, std::string found,
+    [[noreturn]] void reject(const YAML::Mark& mark, const std::string& path, std::string found,
                              std::string allowed) const
     {
         throw unreadable_text(
@@ -278,7 +279,7 @@
     std::vector<open_value> open_values;
     std::map<YAML::anchor_t, json> anchors;
     std::size_t size = 0;
-    int last_start = -1;
+    int last_start_position = -1;
 };
 
 void read_documents(std::istream& text, const std::string& file, yaml_documents& result)
@@ -298,9 +299,9 @@
 yaml_documents read_yaml(std::string_view text, const std::string& file)
 {
     yaml_documents result;
-    if (text.size() > largest_text) {
+    if (text.size() > max_text_bytes) {
         result.faults.push_back({file, 0, "", std::to_string(text.size()) + " bytes",
-                                 "at most " + std::to_string(largest_text) + " bytes"});
+                                 "at most " + std::to_string(max_text_bytes) + " bytes"});
         return result;
     }
     std::istringstream stream{std::string(text)};
--- a/adapters/src/flags.cpp
+++ b/adapters/src/flags.cpp
@@ -16,18 +16,18 @@
 
 namespace {
 
-// Files that one command line may name, each counted as often as it is named. Files that name the
-// next one twice would otherwise take a time that doubles with each.
-constexpr std::size_t most_flag_files = 100;
+// Maximum number of flag files, counting each time a file is named. Without it, files that each
+// name the next one twice would take exponential time.
+constexpr std::size_t max_flag_files = 100;
 
 constexpr const char* flag_file_flag = "flagfile";
 
-// One name for all the ways to write the path.
-std::string identity_of(const std::string& path)
+// Canonical form, equal for all spellings of the same path.
+std::string canonical_path(const std::string& path)
 {
-    std::error_code failed;
-    const auto whole = std::filesystem::weakly_canonical(path, failed);
-    return failed ? path : whole.string();
+    std::error_code error;
+    const auto canonical = std::filesystem::weakly_canonical(path, error);
+    return error ? path : canonical.string();
 }
 
 std::string environment_name(const std::string& prefix, const std::string& flag)
@@ -38,13 +38,13 @@
     return name;
 }
 
-// A file whose arguments are being read.
+// A flag file whose arguments are being read.
 struct open_flag_file {
-    std::string identity;
-    std::size_t left_after = 0; // arguments that follow its own
+    std::string canonical_name;
+    std::size_t remaining_after = 0; // number of arguments after those of the file
 };
 
-// One argument `--name=value`, `--name value`, `--name` or `--noname`.
+// Parses arguments of the forms `--name=value`, `--name value`, `--name` and `--noname`.
 class argument_reader {
 public:
     argument_reader(int argc, char** argv) : arguments(argv + 1, argv + argc) {}
@@ -61,7 +61,7 @@
                 this->result.positional.push_back(argument);
                 continue;
             }
-            this->take_flag(argument);
+            this->parse_flag(argument);
         }
         while (this->next < this->arguments.size()) {
             this->result.positional.push_back(this->arguments[this->next++]);
@@ -69,13 +69,13 @@
         return this->result;
     }
 
-    // Puts the file's arguments before all others.
-    void begin_with_file(const std::string& path) { this->take_file(path); }
+    // Inserts the arguments of the file before all others.
+    void prepend_file(const std::string& path) { this->insert_file(path); }
 
     [[nodiscard]] const std::set<std::string>& seen() const { return this->names; }
 
 private:
-    void take_flag(const std::string& argument)
+    void parse_flag(const std::string& argument)
     {
         const auto begin = argument.find_first_not_of('-');
         const auto equals = argument.find('=');
@@ -101,21 +101,20 @@
         }
     }
 
-    // The argument that is about to be read is a file's as long as more are left than follow the
-    // file.
+    // The next argument belongs to a file as long as more arguments remain than follow that file.
     void close_ended_files()
     {
-        const auto left = this->arguments.size() - this->next;
-        while (!this->open_files.empty() && left <= this->open_files.back().left_after) {
+        const auto remaining = this->arguments.size() - this->next;
+        while (!this->open_files.empty() && remaining <= this->open_files.back().remaining_after) {
             this->open_files.pop_back();
         }
     }
 
-    // A file of arguments, one a line; empty lines and those that begin with # are passed over. Its
-    // flags stand where the file is named.
-    void take_file(const std::string& path)
+    // Inserts the arguments of a file, one per line, at the point where the file is named. Empty
+    // lines and lines that start with # are skipped.
+    void insert_file(const std::string& path)
     {
-        if (!this->may_open(path)) {
+        if (!this->can_open(path)) {
             return;
         }
         std::ifstream file(path);
@@ -130,32 +129,33 @@
                 lines.push_back(line);
             }
         }
-        this->open_files.push_back({identity_of(path), this->arguments.size() - this->next});
+        this->open_files.push_back({canonical_path(path), this->arguments.size() - this->next});
         this->arguments.insert(this->arguments.begin() + static_cast<std::ptrdiff_t>(this->next),
                                lines.begin(), lines.end());
     }
 
-    // A file that names itself, straight or through others, would be read without end: the program
-    // would neither start nor say why. A ring always comes back to a file that is open.
-    [[nodiscard]] bool may_open(const std::string& path)
+    // A file that includes itself, directly or through other files, would be read endlessly and the
+    // program would never start. A cycle always returns to a file that is still open.
+    [[nodiscard]] bool can_open(const std::string& path)
     {
-        const bool is_open = std::any_of(
-            this->open_files.begin(), this->open_files.end(),
-            [identity = identity_of(path)](const auto& file) { return file.identity == identity; });
+        const bool is_open = std::any_of(this->open_files.begin(), this->open_files.end(),
+                                         [canonical_name = canonical_path(path)](const auto& file) {
+                                             return file.canonical_name == canonical_name;
+                                         });
         if (is_open) {
             this->result.faults.push_back("--flagfile: found \"" + path +
-                                          "\" within itself, allowed are files that do not name "
-                                          "themselves, nor name each other in a ring");
+                                          "\" within itself, allowed are files that do not include "
+                                          "themselves, directly or through other files");
             return false;
         }
-        ++this->named_files;
-        if (this->named_files == most_flag_files + 1) {
-            const auto most = std::to_string(most_flag_files);
-            this->result.faults.push_back("--flagfile: found more than " + most +
+        ++this->file_count;
+        if (this->file_count == max_flag_files + 1) {
+            const auto limit = std::to_string(max_flag_files);
+            this->result.faults.push_back("--flagfile: found more than " + limit +
                                           " files, counted each time they are named, allowed are " +
-                                          most);
+                                          limit);
         }
-        return this->named_files <= most_flag_files;
+        return this->file_count <= max_flag_files;
     }
 
     [[nodiscard]] static bool is_bool(const std::string& name)
@@ -172,8 +172,8 @@
             return;
         }
         this->names.insert(name);
-        if (name == flag_file_flag) { // gflags' own reader goes round a ring until its stack ends
-            this->take_file(value);
+        if (name == flag_file_flag) { // gflags itself overflows the stack on a cycle of files
+            this->insert_file(value);
             return;
         }
         if (gflags::SetCommandLineOption(name.c_str(), value.c_str()).empty()) {
@@ -186,8 +186,8 @@
     std::vector<std::string> arguments;
     std::size_t next = 0;
     std::set<std::string> names;
-    std::vector<open_flag_file> open_files; // the one named last comes last
-    std::size_t named_files = 0;
+    std::vector<open_flag_file> open_files; // in the order of inclusion
+    std::size_t file_count = 0;
     read_flags_result result;
 };
 
@@ -198,7 +198,7 @@
     argument_reader reader(argc, argv);
     const auto file_variable = environment_name(environment_prefix, flag_file_flag);
     if (const char* path = std::getenv(file_variable.c_str())) {
-        reader.begin_with_file(path);
+        reader.prepend_file(path);
     }
     auto result = reader.read();
     std::vector<gflags::CommandLineFlagInfo> flags;
--- a/adapters/src/frame_authenticator.cpp
+++ b/adapters/src/frame_authenticator.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Separates this key from whatever else is derived from the fleet key.
+// Domain separation from other keys derived from the fleet key.
 constexpr char key_context[crypto_kdf_CONTEXTBYTES + 1] = "phpeers1";
 constexpr std::uint64_t key_number = 1;
 
@@ -52,17 +52,17 @@
                                          frame_direction direction)
 {
     const auto direction_byte = static_cast<unsigned char>(direction);
-    crypto_auth_hmacsha512256_init(&this->common_part, key.data(), crypto_auth_KEYBYTES);
-    crypto_auth_hmacsha512256_update(&this->common_part, opener.data(), opener.size());
-    crypto_auth_hmacsha512256_update(&this->common_part, acceptor.data(), acceptor.size());
-    crypto_auth_hmacsha512256_update(&this->common_part, &direction_byte, 1);
+    crypto_auth_hmacsha512256_init(&this->prefix_state, key.data(), crypto_auth_KEYBYTES);
+    crypto_auth_hmacsha512256_update(&this->prefix_state, opener.data(), opener.size());
+    crypto_auth_hmacsha512256_update(&this->prefix_state, acceptor.data(), acceptor.size());
+    crypto_auth_hmacsha512256_update(&this->prefix_state, &direction_byte, 1);
 }
 
 frame_code frame_authenticator::next_code(std::string_view payload)
 {
-    const auto place = little_endian(this->next_place++);
-    crypto_auth_hmacsha512256_state state = this->common_part;
-    crypto_auth_hmacsha512256_update(&state, place.data(), place.size());
+    const auto sequence = little_endian(this->next_sequence++);
+    crypto_auth_hmacsha512256_state state = this->prefix_state;
+    crypto_auth_hmacsha512256_update(&state, sequence.data(), sequence.size());
     crypto_auth_hmacsha512256_update(&state, bytes_of(payload), payload.size());
     frame_code code{};
     crypto_auth_hmacsha512256_final(&state, code.data());
--- a/adapters/src/frame_buffer.cpp
+++ b/adapters/src/frame_buffer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t length_bytes = 4;
-constexpr std::size_t kept_bytes = 256U << 10U;
+constexpr std::size_t max_kept_capacity = 256U << 10U;
 
 std::size_t read_length(std::string_view text)
 {
@@ -35,20 +35,21 @@
     return text;
 }
 
-void frame_buffer::append(std::string_view more)
+void frame_buffer::append(std::string_view added)
 {
-    if (this->empty() && this->bytes.capacity() > kept_bytes) {
-        this->bytes = {}; // one long frame would leave its room to a connection for good
+    if (this->empty() && this->bytes.capacity() > max_kept_capacity) {
+        this->bytes =
+            {}; // frees the memory that one long frame would hold until the connection closes
     } else {
-        this->bytes.erase(0, this->used);
+        this->bytes.erase(0, this->consumed);
     }
-    this->used = 0;
-    this->bytes += more;
+    this->consumed = 0;
+    this->bytes += added;
 }
 
 frame_outcome frame_buffer::next(std::size_t max_payload, frame& result)
 {
-    const std::string_view text = this->rest();
+    const std::string_view text = this->unread();
     if (text.size() < length_bytes) {
         return frame_outcome::incomplete;
     }
@@ -61,18 +62,18 @@
     }
     std::memcpy(result.code.data(), text.data() + length_bytes, result.code.size());
     result.payload = text.substr(frame_header_bytes, length);
-    this->used += frame_header_bytes + length;
-    return frame_outcome::whole;
+    this->consumed += frame_header_bytes + length;
+    return frame_outcome::complete;
 }
 
 bool frame_buffer::take(unsigned char* target, std::size_t count)
 {
-    const std::string_view text = this->rest();
+    const std::string_view text = this->unread();
     if (text.size() < count) {
         return false;
     }
     std::memcpy(target, text.data(), count);
-    this->used += count;
+    this->consumed += count;
     return true;
 }
 
--- a/adapters/src/frame_buffer.hpp
+++ b/adapters/src/frame_buffer.hpp
@@ -9,41 +9,43 @@
 
 namespace pearhaven::adapters {
 
-// A frame is the payload's length (4 bytes, little-endian), its code, and the payload.
+// A frame consists of the payload's length (4 bytes, little-endian), its authentication code and
+// the payload.
 inline constexpr std::size_t frame_header_bytes = 4 + sizeof(frame_code);
 
 std::string make_frame(const frame_code& code, std::string_view payload);
 
 struct frame {
     frame_code code{};
-    std::string payload; // storage of its own, aligned for reading as a FlatBuffer
+    std::string payload; // owns its storage, aligned for reading as a FlatBuffer
 };
 
-enum class frame_outcome { incomplete, whole, oversized };
+enum class frame_outcome { incomplete, complete, oversized };
 
-// Cuts the bytes of a connection into frames. Memory grows with the bytes that came, not with the
-// length that a frame claims.
+// Splits the byte stream of a connection into frames. Memory use grows with the bytes received, not
+// with the length that a frame header declares.
 class frame_buffer {
 public:
     void append(std::string_view bytes);
 
-    // Takes the next frame out, if all of it is there. A length over the limit is `oversized` as
-    // soon as it is seen.
+    // Extracts the next frame if it is complete. Returns `oversized` as soon as a declared length
+    // over the limit is read.
     [[nodiscard]] frame_outcome next(std::size_t max_payload, frame& result);
 
-    // Takes bytes out that are no frame. False when there are too few.
+    // Extracts bytes that are not part of a frame. Returns false if fewer than `count` are
+    // available.
     [[nodiscard]] bool take(unsigned char* target, std::size_t count);
 
-    [[nodiscard]] bool empty() const { return this->used == this->bytes.size(); }
+    [[nodiscard]] bool empty() const { return this->consumed == this->bytes.size(); }
 
 private:
-    [[nodiscard]] std::string_view rest() const
+    [[nodiscard]] std::string_view unread() const
     {
-        return std::string_view(this->bytes).substr(this->used);
+        return std::string_view(this->bytes).substr(this->consumed);
     }
 
     std::string bytes;
-    std::size_t used = 0;
+    std::size_t consumed = 0;
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/src/host_list.hpp
+++ b/adapters/src/host_list.hpp
@@ -9,8 +9,8 @@
 
 namespace pearhaven::adapters {
 
-// The body of the host list's answer. Nothing where it is no list; an entry that names no host that
-// can be reached is left out.
+// Parses the body of a host list response. Returns nothing if it is not a list; entries without a
+// reachable host are skipped.
 [[nodiscard]] std::optional<std::vector<listed_host>> read_host_list(const std::string& body);
 
 } // namespace pearhaven::adapters
--- a/adapters/src/host_list_client.cpp
+++ b/adapters/src/host_list_client.cpp
@@ -38,21 +38,21 @@
     return tags;
 }
 
-bool is_ip_number(const std::string& text)
+bool is_ip_address(const std::string& text)
 {
-    if (text.find('\0') != std::string::npos) { // where inet_pton takes it to end
+    if (text.find('\0') != std::string::npos) { // inet_pton stops at a zero byte
         return false;
     }
     in_addr ignored{};
-    in6_addr ignored_six{};
+    in6_addr ignored_ipv6{};
     const bool in_brackets = text.size() > 2 && text.front() == '[' && text.back() == ']';
     return in_brackets
-               ? inet_pton(AF_INET6, text.substr(1, text.size() - 2).c_str(), &ignored_six) == 1
+               ? inet_pton(AF_INET6, text.substr(1, text.size() - 2).c_str(), &ignored_ipv6) == 1
                : inet_pton(AF_INET, text.c_str(), &ignored) == 1;
 }
 
-// IP:port. Anything else in its place would be an endpoint that is chosen, as an idle one, and
-// never reached.
+// Whether the text is IP:port. Any other text would create an endpoint that looks idle, is selected
+// and can never be reached.
 bool is_address(const std::string& text)
 {
     const auto colon = text.rfind(':');
@@ -63,10 +63,10 @@
     const auto* const end = text.data() + text.size();
     const auto read = std::from_chars(text.data() + colon + 1, end, port);
     return read.ec == std::errc() && read.ptr == end && port != 0 &&
-           is_ip_number(text.substr(0, colon));
+           is_ip_address(text.substr(0, colon));
 }
 
-// Empty for an entry that names no reachable host.
+// Returns nothing for an entry that names no reachable host.
 std::optional<listed_host> host_of(const json& item)
 {
     if (!item.is_object()) {
@@ -77,12 +77,12 @@
     host.address = text_of(item, "address");
     host.zone = text_of(item, "zone");
     const auto incarnation = item.find("incarnation");
-    const bool numbered = incarnation != item.end() && incarnation->is_number_unsigned();
-    if (host.name.empty() || !is_address(host.address) || !numbered) {
+    const bool has_incarnation = incarnation != item.end() && incarnation->is_number_unsigned();
+    if (host.name.empty() || !is_address(host.address) || !has_incarnation) {
         return std::nullopt;
     }
     host.incarnation = incarnation->get<std::uint64_t>();
-    host.leaving = text_of(item, "state") != "live"; // a state not known here gets no new work
+    host.leaving = text_of(item, "state") != "live"; // unknown states get no new work
     host.tags = labels_of(item);
     return host;
 }
--- a/adapters/src/key_value_client.cpp
+++ b/adapters/src/key_value_client.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Longest answer taken: a range over many pages of close to the longest value.
+// Maximum size of an accepted answer, large enough for a range of many pages that are close to the
+// maximum value size.
 constexpr std::size_t max_answer_bytes = 256U << 20U;
 
 class http_key_value_store : public coordination::key_value_store {
@@ -20,8 +21,8 @@
     {
         std::optional<http_request> http = to_http(request, this->base_url, this->timeout);
         if (!http) {
-            // The client ends a request without a URL unsent, on its own thread, where every
-            // completion runs.
+            // The client fails a request without a URL without sending it, and does so on its own
+            // thread, where all completions must run.
             http.emplace();
         }
         fetch(this->client, std::move(*http), max_answer_bytes,
--- a/adapters/src/key_value_wire.cpp
+++ b/adapters/src/key_value_wire.cpp
@@ -25,7 +25,7 @@
 template <class Request>
 constexpr bool is_read = is_one_of<Request, kv_get, kv_range, kv_watch>;
 
-// Rounded up, so that the service never ends a lease before its holder expects it.
+// Rounds up, so that the service never expires a lease before its holder expects it.
 std::int64_t to_milliseconds(decision::duration time)
 {
     return std::chrono::ceil<std::chrono::milliseconds>(time).count();
@@ -95,7 +95,7 @@
     return write == nullptr || write->value.size() <= max_value_bytes;
 }
 
-std::chrono::milliseconds own_wait(const kv_request& request)
+std::chrono::milliseconds watch_wait(const kv_request& request)
 {
     const auto* const watch = std::get_if<kv_watch>(&request);
     return std::chrono::milliseconds(watch == nullptr ? 0 : to_milliseconds(watch->wait));
@@ -129,10 +129,10 @@
     }
     for (const json& item : *found) {
         kv_entry entry;
-        const bool whole = item.is_object() && read_text(item, "key", entry.key) &&
-                           read_text(item, "value", entry.value) &&
-                           read_number(item, "revision", entry.revision);
-        if (!whole) {
+        const bool complete = item.is_object() && read_text(item, "key", entry.key) &&
+                              read_text(item, "value", entry.value) &&
+                              read_number(item, "revision", entry.revision);
+        if (!complete) {
             return false;
         }
         entries.push_back(std::move(entry));
@@ -168,7 +168,8 @@
 {
     reply.outcome = kv_outcome::not_found;
     if constexpr (is_one_of<Request, kv_get>) {
-        // Without the revision it may be anybody's 404, and a key that is there would look absent.
+        // Without the revision, the 404 may come from another server, and an existing key would
+        // appear absent.
         return read_number(body, "revision", reply.revision);
     } else {
         return !is_read<Request>;
@@ -216,8 +217,8 @@
         return reply;
     }
     kv_reply failure;
-    const bool harmless = is_read<Request> || is_certainly_not_applied(answer);
-    failure.outcome = harmless ? kv_outcome::unavailable : kv_outcome::unknown;
+    const bool not_applied = is_read<Request> || is_certainly_not_applied(answer);
+    failure.outcome = not_applied ? kv_outcome::unavailable : kv_outcome::unknown;
     return failure;
 }
 
@@ -241,14 +242,14 @@
     if (!http.body.empty()) {
         http.headers.emplace_back("Content-Type", "application/json");
     }
-    const std::chrono::milliseconds longest = timeout + own_wait(request);
+    const std::chrono::milliseconds max_time = timeout + watch_wait(request);
     http.connect_timeout = timeout;
-    http.first_byte_timeout = longest;
+    http.first_byte_timeout = max_time;
     http.progress_timeout = timeout;
-    http.total_timeout = longest;
+    http.total_timeout = max_time;
 
-    // A write sent twice could meet its own first sending and come back as a conflict, which would
-    // be read as "not applied".
+    // A write sent twice could conflict with its own first copy, and the conflict would be read as
+    // "not applied".
     http.may_resend =
         std::visit([](const auto& kind) { return is_read<std::decay_t<decltype(kind)>>; }, request);
     return http;
--- a/adapters/src/link_connection.cpp
+++ b/adapters/src/link_connection.cpp
@@ -18,7 +18,7 @@
     return counts;
 }
 
-void link_connection::look(monotonic_time now)
+void link_connection::check_deadline(monotonic_time now)
 {
     if (this->deadline > now) {
         this->context.deadlines.arm(*this, this->deadline);
@@ -36,13 +36,13 @@
 void link_connection::watch(int socket, bool readable, bool writable)
 {
     this->context.by_socket[socket] = this;
-    static_cast<void>(this->context.ready.watch(socket, readable, writable));
+    static_cast<void>(this->context.socket_poller.watch(socket, readable, writable));
 }
 
 void link_connection::forget(int socket)
 {
     this->context.by_socket.erase(socket);
-    this->context.ready.forget(socket);
+    this->context.socket_poller.forget(socket);
 }
 
 } // namespace pearhaven::adapters
--- a/adapters/src/link_connection.hpp
+++ b/adapters/src/link_connection.hpp
@@ -14,7 +14,7 @@
 
 using link_counter = std::atomic<std::uint64_t>;
 
-// The link's counts while they are being counted; any thread may read them.
+// Live counters of the link; any thread may read them.
 struct link_counters {
     link_counter sent{0};
     link_counter sent_bytes{0};
@@ -32,7 +32,8 @@
 
 class link_connection;
 
-// What the connections of one link share. Used on the link's thread only, but for the counters.
+// State shared by the connections of one link. Used only on the link's thread, except for the
+// counters.
 struct link_context {
     explicit link_context(const peer_link_settings& wanted)
         : settings(wanted), key(wanted.fleet_key)
@@ -41,18 +42,18 @@
     const peer_link_settings settings;
     const frame_key key;
     link_counters counters;
-    poller ready;
+    poller socket_poller;
     deadline_index deadlines;
     std::unordered_map<int, link_connection*> by_socket;
-    bool has_closed_connections = false; // connections that can be cleared up
+    bool has_closed_connections = false; // closed connections that can be removed
 
-    // Where bytes are read into before the connection that they came on takes them. Its size is how
-    // much one connection may bring before the others have their turn.
+    // Read buffer shared by all connections. Its size bounds how many bytes one connection may
+    // deliver before the others get their turn.
     std::array<char, 64U << 10U> scratch{};
 };
 
-// One connection of the link, or the wait for the next one to the same peer. Its events come on the
-// link's thread.
+// One connection of the link, or the wait before the next connection attempt to the same peer. Its
+// events arrive on the link's thread.
 class link_connection : public with_deadline {
 public:
     explicit link_connection(link_context& shared) : context(shared) {}
@@ -62,8 +63,8 @@
 
     virtual void on_ready(const ready_socket& state) = 0;
 
-    // Called when the deadline may have passed.
-    void look(monotonic_time now);
+    // Calls on_deadline if the deadline has passed, otherwise arms it again.
+    void check_deadline(monotonic_time now);
 
 protected:
     virtual void on_deadline(monotonic_time now) = 0;
--- a/adapters/src/log.cpp
+++ b/adapters/src/log.cpp
@@ -32,7 +32,8 @@
     }
     constexpr int compact = -1;
     auto text = line.dump(compact, ' ', false, nlohmann::json::error_handler_t::replace);
-    return text.substr(1); // the pattern opens the object with time, level and process
+    return text.substr(
+        1); // the log pattern writes the start of the object: time, level and process
 }
 
 std::string_view level_name(spdlog::level::level_enum level)
@@ -41,7 +42,7 @@
     return {name.data(), name.size()};
 }
 
-// Lines that wait for standard output. Null unless the process asked for it.
+// Lines waiting to be written to standard output. Null unless buffered logging was started.
 std::unique_ptr<line_buffer> buffered;
 
 void write(spdlog::level::level_enum level, std::string_view event,
--- a/adapters/src/metrics.cpp
+++ b/adapters/src/metrics.cpp
@@ -16,13 +16,13 @@
 
 namespace acc = boost::accumulators;
 
-// Upper bounds of the latency buckets in seconds: from a relayed token to a long reading.
+// Upper bounds of the latency buckets in seconds, from a relayed token to a long prefill.
 constexpr std::array<double, 15> bucket_bounds = {
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0};
 
-// The accumulator set keeps count and sum; its density needs samples to place its own buckets,
-// which would differ between routers and could not be added up, so the bucket bounds are fixed
-// here.
+// The accumulator set tracks count and sum. The bucket bounds are fixed here, because the density
+// accumulator derives its bounds from samples: they would differ between routers, and the counts
+// could not be added up.
 struct histogram {
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum>> totals;
     std::array<std::uint64_t, bucket_bounds.size()> buckets{};
@@ -39,8 +39,8 @@
     }
 };
 
-// Label values come from operators' names; quotes, backslashes and line ends would break the
-// format.
+// Label values contain names chosen by operators; unescaped quotes, backslashes and newlines would
+// break the format.
 std::string escaped(const std::string& value)
 {
     std::string text;
@@ -66,7 +66,7 @@
     return text;
 }
 
-std::string folded(const metric_labels& labels)
+std::string overflow_labels(const metric_labels& labels)
 {
     metric_labels others = labels;
     for (auto& [name, value] : others) {
@@ -132,9 +132,9 @@
         if (found != series.end()) {
             return found->second;
         }
-        // Names that callers choose would otherwise grow the process without bound.
+        // Callers choose some label values; without this bound the series would grow without limit.
         if (this->series_count >= this->max_series) {
-            text = folded(labels);
+            text = overflow_labels(labels);
         } else {
             ++this->series_count;
         }
--- a/adapters/src/outgoing_connection.cpp
+++ b/adapters/src/outgoing_connection.cpp
@@ -10,22 +10,22 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds first_backoff{50};
-constexpr milliseconds longest_backoff{5000};
+constexpr milliseconds max_backoff{5000};
 
-// A connection that stood for so long ends a row of failures. Counting one that merely opened would
-// let a peer that refuses the key be tried again without a pause.
-constexpr milliseconds proven_after{5000};
+// A connection open for this long resets the count of consecutive failures. If opening alone reset
+// it, a peer that rejects the key would be retried without backoff.
+constexpr milliseconds min_stable_time{5000};
 
-// Bytes written to one peer before the others have their turn.
+// Bytes written to one peer before the other connections get their turn.
 constexpr std::size_t write_budget = 1U << 20U;
 
-// Doubles with each failure; a random quarter is left out, so that peers of one that restarts do
-// not all come at once.
+// Doubles with each failure, minus a random part of up to a quarter, so that the peers of a
+// restarted router do not all reconnect at once.
 milliseconds backoff_after(unsigned failures)
 {
     constexpr unsigned max_doublings = 7;
     const milliseconds full =
-        std::min(longest_backoff, first_backoff * (1U << std::min(failures, max_doublings)));
+        std::min(max_backoff, first_backoff * (1U << std::min(failures, max_doublings)));
     const auto quarter = static_cast<std::uint32_t>(full.count() / 4);
     return full - milliseconds(randombytes_uniform(quarter + 1));
 }
@@ -82,7 +82,7 @@
 void outgoing_connection::on_ready(const ready_socket& state)
 {
     if (state.failed) {
-        this->lose();
+        this->on_lost();
         return;
     }
     switch (this->phase) {
@@ -109,7 +109,7 @@
 void outgoing_connection::on_connected()
 {
     if (!this->socket.is_connected()) {
-        return; // an event of an earlier socket of the same number
+        return; // event of an earlier socket with the same descriptor
     }
     this->phase = stage::awaiting_nonce;
     this->own_nonce = random_nonce();
@@ -117,14 +117,14 @@
     const auto* nonce = reinterpret_cast<const char*>(this->own_nonce.data());
     const tcp_transfer transfer = this->socket.write({nonce, this->own_nonce.size()});
     if (transfer.bytes != this->own_nonce.size()) {
-        this->lose();
+        this->on_lost();
         return;
     }
     this->watch(this->socket.get(), true, false);
     this->set_deadline(std::chrono::steady_clock::now() + this->context.settings.handshake_timeout);
 }
 
-// The peer sends its nonce and nothing else, ever.
+// The peer sends its nonce and nothing else.
 void outgoing_connection::on_readable()
 {
     std::array<char, sizeof(connection_nonce) + 1> bytes{};
@@ -133,7 +133,7 @@
         return;
     }
     if (transfer.outcome == tcp_outcome::closed) {
-        this->lose();
+        this->on_lost();
         return;
     }
     this->received.append({bytes.data(), transfer.bytes});
@@ -144,7 +144,7 @@
     }
     if (this->phase == stage::opened && !this->received.empty()) {
         ++this->context.counters.rejected;
-        this->lose();
+        this->on_lost();
     }
 }
 
@@ -160,16 +160,16 @@
     this->flush();
 }
 
-// Writes until the queue is empty, the socket is full or the others have their turn.
+// Writes until the queue is empty, the socket would block or the write budget is spent.
 void outgoing_connection::flush()
 {
     std::size_t budget = write_budget;
     bool blocked = false;
-    while (!blocked && budget > 0 && (!this->current.empty() || this->load_next())) {
-        const std::string_view rest = std::string_view(this->current).substr(this->written);
-        const tcp_transfer transfer = this->socket.write(rest.substr(0, budget));
+    while (!blocked && budget > 0 && (!this->current.empty() || this->start_next_frame())) {
+        const std::string_view unwritten = std::string_view(this->current).substr(this->written);
+        const tcp_transfer transfer = this->socket.write(unwritten.substr(0, budget));
         if (transfer.outcome == tcp_outcome::closed) {
-            this->lose();
+            this->on_lost();
             return;
         }
         blocked = transfer.outcome == tcp_outcome::would_block;
@@ -186,7 +186,7 @@
     this->set_deadline(std::chrono::steady_clock::now() + this->context.settings.idle_timeout);
 }
 
-bool outgoing_connection::load_next()
+bool outgoing_connection::start_next_frame()
 {
     if (this->queue.empty()) {
         return false;
@@ -219,33 +219,33 @@
     switch (this->phase) {
     case stage::connecting:
     case stage::awaiting_nonce:
-        this->lose();
+        this->on_lost();
         break;
     case stage::opened:
         if (this->current.empty() && this->queue.empty()) {
-            this->rest();
+            this->become_idle();
         } else {
-            this->lose(); // nothing could be written for the whole idle time
+            this->on_lost(); // no progress in writing for the complete idle timeout
         }
         break;
     case stage::backing_off:
         this->end_back_off();
         break;
     case stage::idle:
-        this->rest();
+        this->become_idle();
         break;
     }
 }
 
-// The connection, or the attempt at one, is over. A frame that was partly written is lost with it;
-// frames not yet begun are kept if the peer was there a moment ago.
-void outgoing_connection::lose()
+// Handles the end of the connection or of the connection attempt. A partly written frame is lost;
+// queued messages are kept if the connection had been opened.
+void outgoing_connection::on_lost()
 {
     auto& counters = this->context.counters;
     if (this->phase == stage::opened) {
         ++counters.connections_lost;
-        const auto stood = std::chrono::steady_clock::now() - this->opened_at;
-        this->failures = stood >= proven_after ? 0 : this->failures;
+        const auto open_time = std::chrono::steady_clock::now() - this->opened_at;
+        this->failures = open_time >= min_stable_time ? 0 : this->failures;
     } else {
         ++(this->phase == stage::connecting ? counters.connect_failures
                                             : counters.handshake_failures);
@@ -269,11 +269,11 @@
         this->connect();
         return;
     }
-    // Remembers the row of failures for a while: the next message may come soon.
-    this->set_deadline(std::chrono::steady_clock::now() + longest_backoff);
+    // Keeps the failure count for a while, because the next message may follow soon.
+    this->set_deadline(std::chrono::steady_clock::now() + max_backoff);
 }
 
-void outgoing_connection::rest()
+void outgoing_connection::become_idle()
 {
     this->disconnect();
     this->phase = stage::idle;
--- a/adapters/src/outgoing_connection.hpp
+++ b/adapters/src/outgoing_connection.hpp
@@ -10,9 +10,9 @@
 
 namespace pearhaven::adapters {
 
-// Everything on its way to one peer: the bounded queue, and the connection that is opened when the
-// queue has something. After a failure the next attempt waits, longer each time in a row. What is
-// queued when no connection can be had is dropped: it would be stale once one is.
+// Messages to one peer: the bounded queue, and the connection that is opened when the queue is not
+// empty. After a failure, the next attempt is delayed by an increasing backoff. Queued messages are
+// dropped when connecting fails, because they would be stale once a connection succeeds.
 class outgoing_connection : public link_connection {
 public:
     outgoing_connection(link_context& context, peer_address peer);
@@ -23,13 +23,14 @@
     void enqueue(std::string payload);
     void on_ready(const ready_socket& state) override;
 
-    // Nothing queued, connected, waited for or remembered: the object may go.
-    [[nodiscard]] bool is_spent() const
+    // Whether nothing is queued, connected, pending or remembered, so that the object can be
+    // removed.
+    [[nodiscard]] bool is_unused() const
     {
         return this->phase == stage::idle && this->queue.empty() && this->failures == 0;
     }
 
-    // Whether bytes may still be on their way into the connection.
+    // Whether there are still messages that the connection may send.
     [[nodiscard]] bool is_draining() const;
 
 private:
@@ -41,13 +42,13 @@
     void on_readable();
     void open(const connection_nonce& acceptor);
     void flush();
-    [[nodiscard]] bool load_next();
+    [[nodiscard]] bool start_next_frame();
     void drop_oldest();
     void drop_queue();
-    void lose();
+    void on_lost();
     void back_off();
     void end_back_off();
-    void rest();
+    void become_idle();
     void disconnect();
 
     const peer_address peer;
@@ -55,15 +56,15 @@
     std::size_t queued_bytes = 0;
 
     stage phase = stage::idle;
-    unsigned failures = 0; // in a row
+    unsigned failures = 0; // consecutive
     monotonic_time opened_at;
     tcp_socket socket;
     connection_nonce own_nonce{};
     frame_buffer received;
     std::optional<frame_authenticator> authenticator;
-    std::string current; // frame on its way, from `written` on
+    std::string current; // frame being sent; bytes from `written` on are unsent
     std::size_t written = 0;
-    bool current_is_message = false; // not the opening frame
+    bool current_is_message = false; // false for the opening frame
 };
 
 } // namespace pearhaven::adapters
--- a/adapters/src/peer_codec.hpp
+++ b/adapters/src/peer_codec.hpp
@@ -9,7 +9,7 @@
 
 namespace pearhaven::adapters {
 
-// One message with who sent it and where that sender can be reached.
+// A message with the incarnation of its sender and the address on which the sender can be reached.
 struct peer_envelope {
     std::string from;
     peer_address reply_to;
@@ -18,11 +18,10 @@
     friend bool operator==(const peer_envelope&, const peer_envelope&) = default;
 };
 
-// The envelope as a FlatBuffer.
+// Encodes the envelope as a FlatBuffer.
 std::string encode_envelope(const peer_envelope& envelope);
 
-// Nothing unless every part of the payload is whole and in its range: the payload may hold any
-// bytes.
+// Decodes an untrusted payload. Returns nothing unless every part is complete and in its range.
 std::optional<peer_envelope> decode_envelope(std::string_view payload);
 
 } // namespace pearhaven::adapters
--- a/adapters/src/peer_decoder.cpp
+++ b/adapters/src/peer_decoder.cpp
@@ -10,32 +10,32 @@
 template <class Table>
 using offset = flatbuffers::Offset<Table>;
 
-// Messages are trees of known depth; a deeper payload is no message.
+// Messages are trees of known depth; a deeper payload is invalid.
 constexpr flatbuffers::uoffset_t max_depth = 16;
 
-// A short payload can name one table very often; the verifier must not be kept walking by it.
+// A short payload can reference one table many times; this bounds the work of the verifier.
 constexpr flatbuffers::uoffset_t max_tables = 200'000;
 
-// Parts of prompts that one router may tell of at one endpoint. It holds at most some thousand
-// requests, with some parts each.
-constexpr std::size_t most_parts_told = 65'536;
+// Maximum number of prompt parts that a router may report for one endpoint. An endpoint holds at
+// most a few thousand requests, with a few parts each.
+constexpr std::size_t max_reported_parts = 65'536;
 
-// Reads verified tables. The functions say whether all numbers were in their ranges.
+// Decodes verified tables. The functions return whether all numbers are in range.
 class envelope_decoder {
 public:
-    static bool take(const wire::Frame& frame, peer_envelope& envelope)
+    static bool decode(const wire::Frame& frame, peer_envelope& envelope)
     {
-        envelope.from = take(frame.incarnation());
-        envelope.reply_to = {take(frame.listen_host()), frame.listen_port()};
-        return take_body(frame, envelope.message);
+        envelope.from = decode(frame.incarnation());
+        envelope.reply_to = {decode(frame.listen_host()), frame.listen_port()};
+        return decode_body(frame, envelope.message);
     }
 
 private:
-    static std::string take(const flatbuffers::String* text) { return text->str(); }
+    static std::string decode(const flatbuffers::String* text) { return text->str(); }
 
-    // False when a number lies outside the enumeration.
+    // Returns false if the number is outside the enumeration.
     template <class Enumeration>
-    static bool take(std::uint8_t number, Enumeration last, Enumeration& value)
+    static bool decode(std::uint8_t number, Enumeration last, Enumeration& value)
     {
         if (number > static_cast<std::uint8_t>(last)) {
             return false;
@@ -45,57 +45,57 @@
     }
 
     template <class Table, class Element>
-    static bool take_all(const flatbuffers::Vector<offset<Table>>* tables,
-                         std::vector<Element>& elements)
+    static bool decode_all(const flatbuffers::Vector<offset<Table>>* tables,
+                           std::vector<Element>& elements)
     {
         elements.reserve(tables->size());
         for (const Table* table : *tables) {
-            if (!take(*table, elements.emplace_back())) {
+            if (!decode(*table, elements.emplace_back())) {
                 return false;
             }
         }
         return true;
     }
 
-    static bool take(const wire::Member& table, member& item)
+    static bool decode(const wire::Member& table, member& item)
     {
-        item.id = take(table.id());
-        item.host = take(table.host());
+        item.id = decode(table.id());
+        item.host = decode(table.host());
         item.peer_port = table.peer_port();
         item.operator_port = table.operator_port();
-        item.zone = take(table.zone());
+        item.zone = decode(table.zone());
         item.sequence = table.sequence();
         item.config_revision = table.config_revision();
-        return take(table.state(), member_state::dead, item.state);
+        return decode(table.state(), member_state::dead, item.state);
     }
 
-    static bool take(const wire::ConfigObject& table, config_object& item)
+    static bool decode(const wire::ConfigObject& table, config_object& item)
     {
-        item = {take(table.kind()), take(table.name()), take(table.body())};
+        item = {decode(table.kind()), decode(table.name()), decode(table.body())};
         return true;
     }
 
-    static bool take(const wire::ConfigChange& table, config_change& item)
+    static bool decode(const wire::ConfigChange& table, config_change& item)
     {
         item.revision = table.revision();
-        item.write_id = take(table.write_id());
-        item.author = take(table.author());
+        item.write_id = decode(table.write_id());
+        item.author = decode(table.author());
         item.unix_ms = table.unix_ms();
-        return take_all(table.objects(), item.objects);
+        return decode_all(table.objects(), item.objects);
     }
 
-    static bool take(const wire::ConfigSnapshot& table, config_snapshot& item)
+    static bool decode(const wire::ConfigSnapshot& table, config_snapshot& item)
     {
         item.revision = table.revision();
-        return take_all(table.objects(), item.objects);
+        return decode_all(table.objects(), item.objects);
     }
 
-    static bool take(const wire::Bill& table, bill& item)
+    static bool decode(const wire::Bill& table, bill& item)
     {
-        item.request = take(table.request());
-        item.team = take(table.team());
-        item.version = take(table.version());
-        item.endpoint = take(table.endpoint());
+        item.request = decode(table.request());
+        item.team = decode(table.team());
+        item.version = decode(table.version());
+        item.endpoint = decode(table.endpoint());
         item.prompt_tokens = table.prompt_tokens();
         item.completion_tokens = table.completion_tokens();
         item.spent_tokens = table.spent_tokens();
@@ -103,99 +103,99 @@
         return true;
     }
 
-    static bool take(const wire::Fact& table, fact& item)
+    static bool decode(const wire::Fact& table, fact& item)
     {
-        item.subject = take(table.subject());
-        item.author = take(table.author());
+        item.subject = decode(table.subject());
+        item.author = decode(table.author());
         item.sequence = table.sequence();
         item.value = table.value();
         item.time_to_live = decision::duration(table.time_to_live_us());
-        return take(table.kind(), fact_kind::exposure_spent, item.kind);
+        return decode(table.kind(), fact_kind::exposure_spent, item.kind);
     }
 
-    static bool take(const wire::Probe& table, probe& message)
+    static bool decode(const wire::Probe& table, probe& message)
     {
         message.nonce = table.nonce();
-        message.target = take(table.target());
-        return take_all(table.updates(), message.updates);
+        message.target = decode(table.target());
+        return decode_all(table.updates(), message.updates);
     }
 
-    static bool take(const wire::ProbeReply& table, probe_reply& message)
+    static bool decode(const wire::ProbeReply& table, probe_reply& message)
     {
         message.nonce = table.nonce();
-        return take_all(table.updates(), message.updates);
+        return decode_all(table.updates(), message.updates);
     }
 
-    static bool take(const wire::ConfigPull& table, config_pull& message)
+    static bool decode(const wire::ConfigPull& table, config_pull& message)
     {
         message = {table.nonce(), table.revision()};
         return true;
     }
 
-    static bool take(const wire::ConfigUpdate& table, config_update& message)
+    static bool decode(const wire::ConfigUpdate& table, config_update& message)
     {
         message.nonce = table.nonce();
         message.revision = table.revision();
         message.age = decision::duration(table.age_us());
         message.store_reachable = table.store_reachable();
-        return table.snapshot()->size() <= 1 && take_all(table.changes(), message.changes) &&
-               take_all(table.snapshot(), message.snapshot);
+        return table.snapshot()->size() <= 1 && decode_all(table.changes(), message.changes) &&
+               decode_all(table.snapshot(), message.snapshot);
     }
 
-    static bool take(const wire::BillCopy& table, bill_copy& message)
+    static bool decode(const wire::BillCopy& table, bill_copy& message)
     {
-        message.owner = take(table.owner());
+        message.owner = decode(table.owner());
         message.page = table.page();
-        return take_all(table.bills(), message.bills);
+        return decode_all(table.bills(), message.bills);
     }
 
-    static bool take(const wire::BillCopyAck& table, bill_copy_ack& message)
+    static bool decode(const wire::BillCopyAck& table, bill_copy_ack& message)
     {
-        message = {take(table.owner()), table.page()};
+        message = {decode(table.owner()), table.page()};
         return true;
     }
 
-    static bool take(const wire::BillCopyDrop& table, bill_copy_drop& message)
+    static bool decode(const wire::BillCopyDrop& table, bill_copy_drop& message)
     {
-        message = {take(table.owner()), table.page()};
+        message = {decode(table.owner()), table.page()};
         return true;
     }
 
-    static bool take(const wire::FactPush& table, fact_push& message)
+    static bool decode(const wire::FactPush& table, fact_push& message)
     {
-        return take_all(table.facts(), message.facts);
+        return decode_all(table.facts(), message.facts);
     }
 
-    static bool take(const wire::EndpointLoad& table, decision::endpoint_load& item)
+    static bool decode(const wire::EndpointLoad& table, decision::endpoint_load& item)
     {
-        item = {take(table.address()), table.requests(), table.work(), table.incarnation(), {},
+        item = {decode(table.address()), table.requests(), table.work(), table.incarnation(), {},
                 table.writing()};
         if (table.parts() != nullptr) {
             item.parts.assign(table.parts()->begin(), table.parts()->end());
         }
-        return item.parts.size() <= most_parts_told;
+        return item.parts.size() <= max_reported_parts;
     }
 
-    static bool take(const wire::LoadPush& table, load_push& message)
+    static bool decode(const wire::LoadPush& table, load_push& message)
     {
-        return take_all(table.loads(), message.loads);
+        return decode_all(table.loads(), message.loads);
     }
 
-    static bool take(const wire::MirrorPull& table, mirror_pull& message)
+    static bool decode(const wire::MirrorPull& table, mirror_pull& message)
     {
         message = {table.nonce(), table.after(), !table.small()};
         return true;
     }
 
-    static bool take(const wire::StoreEntry& table, kv_entry& item)
+    static bool decode(const wire::StoreEntry& table, kv_entry& item)
     {
-        item.key = take(table.key());
+        item.key = decode(table.key());
         item.value.assign(table.value()->begin(), table.value()->end());
         item.revision = table.revision();
         return true;
     }
 
-    static bool take(const wire::MirrorNews& table, mirror_update& message)
+    static bool decode(const wire::MirrorNews& table, mirror_update& message)
     {
         message.nonce = table.nonce();
         message.as_of = table.left_out() == 0 ? table.as_of() : table.until();
@@ -203,44 +203,44 @@
         message.after = table.after();
         message.age = decision::duration(table.age_us());
         message.first_omitted = table.left_out();
-        return take_all(table.entries(), message.entries);
+        return decode_all(table.entries(), message.entries);
     }
 
     template <class Message, class Table>
-    static bool take_body(const Table* table, peer_message& message)
+    static bool decode_body(const Table* table, peer_message& message)
     {
-        return take(*table, message.emplace<Message>());
+        return decode(*table, message.emplace<Message>());
     }
 
-    static bool take_body(const wire::Frame& frame, peer_message& message)
+    static bool decode_body(const wire::Frame& frame, peer_message& message)
     {
         switch (frame.body_type()) {
         case wire::Body::Probe:
-            return take_body<probe>(frame.body_as_Probe(), message);
+            return decode_body<probe>(frame.body_as_Probe(), message);
         case wire::Body::ProbeReply:
-            return take_body<probe_reply>(frame.body_as_ProbeReply(), message);
+            return decode_body<probe_reply>(frame.body_as_ProbeReply(), message);
         case wire::Body::ConfigPull:
-            return take_body<config_pull>(frame.body_as_ConfigPull(), message);
+            return decode_body<config_pull>(frame.body_as_ConfigPull(), message);
         case wire::Body::ConfigUpdate:
-            return take_body<config_update>(frame.body_as_ConfigUpdate(), message);
+            return decode_body<config_update>(frame.body_as_ConfigUpdate(), message);
         case wire::Body::BillCopy:
-            return take_body<bill_copy>(frame.body_as_BillCopy(), message);
+            return decode_body<bill_copy>(frame.body_as_BillCopy(), message);
         case wire::Body::BillCopyAck:
-            return take_body<bill_copy_ack>(frame.body_as_BillCopyAck(), message);
+            return decode_body<bill_copy_ack>(frame.body_as_BillCopyAck(), message);
         case wire::Body::BillCopyDrop:
-            return take_body<bill_copy_drop>(frame.body_as_BillCopyDrop(), message);
+            return decode_body<bill_copy_drop>(frame.body_as_BillCopyDrop(), message);
         case wire::Body::FactPush:
-            return take_body<fact_push>(frame.body_as_FactPush(), message);
+            return decode_body<fact_push>(frame.body_as_FactPush(), message);
         case wire::Body::LoadPush:
-            return take_body<load_push>(frame.body_as_LoadPush(), message);
+            return decode_body<load_push>(frame.body_as_LoadPush(), message);
         case wire::Body::MirrorPull:
-            return take_body<mirror_pull>(frame.body_as_MirrorPull(), message);
+            return decode_body<mirror_pull>(frame.body_as_MirrorPull(), message);
         case wire::Body::MirrorNews:
-            return take_body<mirror_update>(frame.body_as_MirrorNews(), message);
+            return decode_body<mirror_update>(frame.body_as_MirrorNews(), message);
         case wire::Body::NONE:
             break;
         }
-        return false; // a kind that a newer release added
+        return false; // a message type added by a newer release
     }
 };
 
@@ -254,7 +254,7 @@
         return std::nullopt;
     }
     std::optional<peer_envelope> envelope(std::in_place);
-    if (!envelope_decoder::take(*wire::GetFrame(bytes), *envelope)) {
+    if (!envelope_decoder::decode(*wire::GetFrame(bytes), *envelope)) {
         envelope.reset();
     }
     return envelope;
--- a/adapters/src/peer_encoder.cpp
+++ b/adapters/src/peer_encoder.cpp
@@ -12,7 +12,7 @@
 
 using text_offset = offset<flatbuffers::String>;
 
-// FlatBuffers are written from the leaves up: each function returns where it has put its part.
+// FlatBuffers are written bottom-up: each function returns the offset of the part that it wrote.
 class envelope_encoder {
 public:
     std::string encode(const peer_envelope& envelope)
@@ -176,7 +176,7 @@
                                       until);
     }
 
-    // The offset's own type names the union's member.
+    // The type of the offset determines the union member.
     template <class Table>
     offset<wire::Frame> put_frame(const peer_envelope& envelope, offset<Table> body)
     {
--- a/adapters/src/peer_link.cpp
+++ b/adapters/src/peer_link.cpp
@@ -18,13 +18,13 @@
 
 namespace {
 
-// Connections accepted before the others have their turn.
-constexpr int accepts_at_once = 64;
+// Connections accepted before the other sockets get their turn.
+constexpr int max_accepts_per_turn = 64;
 
-// How long to leave waiting connections alone when the process has no socket left for them.
+// Pause before accepting again when the process has run out of file descriptors.
 constexpr std::chrono::milliseconds accept_pause{100};
 
-// How long `stop` lets queued messages leave.
+// Time that `stop` allows for sending queued messages.
 constexpr std::chrono::milliseconds drain_time{200};
 
 constexpr std::size_t max_submitted = 16384;
@@ -53,7 +53,7 @@
     void shut_down();
     void run();
     void drain();
-    void turn(std::optional<monotonic_time> until);
+    void run_once(std::optional<monotonic_time> until);
     [[nodiscard]] std::optional<std::chrono::nanoseconds>
     next_wait(std::optional<monotonic_time> until) const;
     [[nodiscard]] bool submit(submission& item);
@@ -62,8 +62,8 @@
     void accept_waiting();
     void resume_accepting(monotonic_time now);
     [[nodiscard]] bool make_room();
-    void look_at_due();
-    void clear_up();
+    void handle_due_deadlines();
+    void remove_finished();
     [[nodiscard]] bool deliver(std::string_view payload);
 
     link_context context;
@@ -73,8 +73,8 @@
     peer_address reply_to;
     std::map<peer_address, outgoing_connection> outgoing;
     std::list<incoming_connection> incoming; // oldest first
-    std::optional<monotonic_time> accepting_again;
-    std::vector<submission> taken;
+    std::optional<monotonic_time> accept_resume_time;
+    std::vector<submission> taken_submissions;
 
     std::mutex mutex; // guards the two below
     std::vector<submission> submitted;
@@ -90,7 +90,7 @@
       reply_to{settings.advertise_host.empty() ? settings.listen_host : settings.advertise_host,
                settings.advertise_port == 0 ? this->listened_port : settings.advertise_port}
 {
-    if (!this->context.ready.watch(this->listener.get(), true, false)) {
+    if (!this->context.socket_poller.watch(this->listener.get(), true, false)) {
         throw std::system_error(errno, std::system_category(), "epoll");
     }
     this->worker = std::thread([this] { this->run(); });
@@ -117,7 +117,7 @@
         this->submitted.push_back(std::move(item));
     }
     if (first) {
-        this->context.ready.wake();
+        this->context.socket_poller.wake();
     }
     return true;
 }
@@ -129,7 +129,7 @@
         const std::lock_guard guard(this->mutex);
         this->stopping = true;
     }
-    this->context.ready.wake();
+    this->context.socket_poller.wake();
     if (this->worker.joinable()) {
         this->worker.join();
     }
@@ -139,7 +139,7 @@
 {
     bool stopped = false;
     while (!stopped) {
-        this->turn(std::nullopt);
+        this->run_once(std::nullopt);
         const std::lock_guard guard(this->mutex);
         stopped = this->stopping;
     }
@@ -151,30 +151,30 @@
 void tcp_peer_link::drain()
 {
     const monotonic_time end = std::chrono::steady_clock::now() + drain_time;
-    this->context.ready.forget(this->listener.get());
+    this->context.socket_poller.forget(this->listener.get());
     this->listener.close();
-    this->accepting_again.reset();
+    this->accept_resume_time.reset();
     this->take_submissions();
     const auto is_draining = [](const auto& entry) { return entry.second.is_draining(); };
     while (std::any_of(this->outgoing.begin(), this->outgoing.end(), is_draining) &&
            std::chrono::steady_clock::now() < end) {
-        this->turn(end);
+        this->run_once(end);
     }
 }
 
-void tcp_peer_link::turn(std::optional<monotonic_time> until)
+void tcp_peer_link::run_once(std::optional<monotonic_time> until)
 {
-    this->serve(this->context.ready.wait(this->next_wait(until)));
+    this->serve(this->context.socket_poller.wait(this->next_wait(until)));
     this->take_submissions();
-    this->look_at_due();
-    this->clear_up();
+    this->handle_due_deadlines();
+    this->remove_finished();
 }
 
 std::optional<std::chrono::nanoseconds>
 tcp_peer_link::next_wait(std::optional<monotonic_time> until) const
 {
     std::optional<monotonic_time> earliest = until;
-    for (const auto& time : {this->context.deadlines.next(), this->accepting_again}) {
+    for (const auto& time : {this->context.deadlines.next(), this->accept_resume_time}) {
         if (time && (!earliest || *time < *earliest)) {
             earliest = time;
         }
@@ -189,13 +189,13 @@
 {
     {
         const std::lock_guard guard(this->mutex);
-        this->taken.swap(this->submitted);
+        this->taken_submissions.swap(this->submitted);
     }
-    for (submission& item : this->taken) {
+    for (submission& item : this->taken_submissions) {
         const auto peer = this->outgoing.try_emplace(item.to, this->context, item.to).first;
         peer->second.enqueue(std::move(item.payload));
     }
-    this->taken.clear();
+    this->taken_submissions.clear();
 }
 
 void tcp_peer_link::serve(const std::vector<ready_socket>& sockets)
@@ -214,13 +214,13 @@
 
 void tcp_peer_link::accept_waiting()
 {
-    for (int count = 0; count < accepts_at_once; ++count) {
+    for (int count = 0; count < max_accepts_per_turn; ++count) {
         tcp_socket accepted = this->listener.accept();
         const bool out_of_sockets = !accepted && (errno == EMFILE || errno == ENFILE);
         if (out_of_sockets) {
-            // The connection stays ready: without a pause the thread would turn at full speed.
-            this->context.ready.forget(this->listener.get());
-            this->accepting_again = std::chrono::steady_clock::now() + accept_pause;
+            // The listener stays readable: without a pause the thread would spin.
+            this->context.socket_poller.forget(this->listener.get());
+            this->accept_resume_time = std::chrono::steady_clock::now() + accept_pause;
         }
         if (!accepted) {
             return;
@@ -237,46 +237,47 @@
 
 void tcp_peer_link::resume_accepting(monotonic_time now)
 {
-    if (this->accepting_again && *this->accepting_again <= now) {
-        this->accepting_again.reset();
-        static_cast<void>(this->context.ready.watch(this->listener.get(), true, false));
+    if (this->accept_resume_time && *this->accept_resume_time <= now) {
+        this->accept_resume_time.reset();
+        static_cast<void>(this->context.socket_poller.watch(this->listener.get(), true, false));
     }
 }
 
-// At the bound, the connection that has gone longest without proving the key makes room: strangers
-// cannot keep routers out by holding connections.
+// At the limit, evicts the oldest connection that has not authenticated yet, so that strangers
+// cannot lock out routers by holding connections.
 bool tcp_peer_link::make_room()
 {
     if (this->incoming.size() < this->context.settings.max_incoming) {
         return true;
     }
-    for (auto place = this->incoming.begin(); place != this->incoming.end(); ++place) {
-        if (!place->is_opened()) {
+    for (auto position = this->incoming.begin(); position != this->incoming.end(); ++position) {
+        if (!position->is_opened()) {
             ++this->context.counters.connections_refused;
-            this->incoming.erase(place);
+            this->incoming.erase(position);
             return true;
         }
     }
     return false;
 }
 
-void tcp_peer_link::look_at_due()
+void tcp_peer_link::handle_due_deadlines()
 {
     const monotonic_time now = std::chrono::steady_clock::now();
     this->resume_accepting(now);
     while (with_deadline* const due = this->context.deadlines.take_due(now)) {
-        static_cast<link_connection*>(due)->look(now);
+        static_cast<link_connection*>(due)->check_deadline(now);
     }
 }
 
-void tcp_peer_link::clear_up()
+void tcp_peer_link::remove_finished()
 {
     if (!std::exchange(this->context.has_closed_connections, false)) {
         return;
     }
     this->incoming.remove_if([](const incoming_connection& item) { return item.is_closed(); });
-    for (auto place = this->outgoing.begin(); place != this->outgoing.end();) {
-        place = place->second.is_spent() ? this->outgoing.erase(place) : std::next(place);
+    for (auto position = this->outgoing.begin(); position != this->outgoing.end();) {
+        position =
+            position->second.is_unused() ? this->outgoing.erase(position) : std::next(position);
     }
 }
 
@@ -284,7 +285,7 @@
 {
     std::optional<peer_envelope> envelope = decode_envelope(payload);
     if (!envelope || envelope->from == this->context.settings.self) {
-        return false; // no message, or an own one turned back
+        return false; // not a message, or an own message reflected
     }
     this->on_message(envelope->from, envelope->reply_to, std::move(envelope->message));
     return true;
--- a/adapters/src/progress_codec.cpp
+++ b/adapters/src/progress_codec.cpp
@@ -21,43 +21,43 @@
      {progress_state::finished, "finished"},
      {progress_state::bad, "bad"}}};
 
-// What another writer may have put in place of a count or a share. A step is counted through, one
-// by one, whenever it is looked up; a rate is added to others.
-constexpr std::uint64_t most_steps = 1000;
-constexpr std::uint64_t most_routers = 100'000;
+// Upper bounds for values that another writer may have stored. Steps are iterated one by one on
+// each lookup, and rates are summed.
+constexpr std::uint64_t max_steps = 1000;
+constexpr std::uint64_t max_routers = 100'000;
 constexpr std::uint64_t million = 1'000'000;
-constexpr std::uint64_t most_answers = 1'000'000'000'000;
-constexpr double highest_rate = 1e9;
+constexpr std::uint64_t max_answers = 1'000'000'000'000;
+constexpr double max_rate = 1e9;
 
-std::uint32_t short_count_field(const json& value, const char* name, std::uint64_t most)
+std::uint32_t short_count_field(const json& value, const char* name, std::uint64_t max)
 {
-    return static_cast<std::uint32_t>(count_field(value, name, most));
+    return static_cast<std::uint32_t>(count_field(value, name, max));
 }
 
 std::uint64_t answers_field(const json& value, const char* name)
 {
-    return count_field(value, name, most_answers);
+    return count_field(value, name, max_answers);
 }
 
 progress_record read_record_value(const json& value)
 {
     progress_record record;
     record.run = count_field(value, "run");
-    record.step = short_count_field(value, "step", most_steps);
-    record.routers = short_count_field(value, "routers", most_routers);
+    record.step = short_count_field(value, "step", max_steps);
+    record.routers = short_count_field(value, "routers", max_routers);
     if (record.routers == 0) {
         throw malformed_value();
     }
     record.session_ppm = short_count_field(value, "session_ppm", million);
     record.state = read_name(state_names, text_field(value, "state"));
-    // Routers of an earlier release fill an endpoint with all requests that may.
+    // Routers of an earlier release fill an endpoint with all eligible requests.
     if (value.contains("fill_ppm")) {
         record.fill_ppm = short_count_field(value, "fill_ppm", million);
     }
     return record;
 }
 
-// Routers of an earlier release tell no runs under load.
+// Routers of an earlier release do not report runs by load.
 decision::load_counts read_load_counts(const json& value)
 {
     decision::load_counts counts{};
@@ -96,7 +96,7 @@
     evidence.earlier.good = answers_field(value, "earlier_good");
     evidence.earlier.bad = answers_field(value, "earlier_bad");
     evidence.long_answer_rate = number_field(value, "long_rate");
-    if (evidence.long_answer_rate < 0.0 || evidence.long_answer_rate > highest_rate) {
+    if (evidence.long_answer_rate < 0.0 || evidence.long_answer_rate > max_rate) {
         throw malformed_value();
     }
     evidence.under_load = read_load_counts(value);
--- a/adapters/src/stored_values.cpp
+++ b/adapters/src/stored_values.cpp
@@ -91,16 +91,16 @@
     }
 };
 
-json write_bill(const bill& one)
+json write_bill(const bill& record)
 {
-    return {{"request", one.request},
-            {"team", one.team},
-            {"version", one.version},
-            {"endpoint", one.endpoint},
-            {"prompt_tokens", one.prompt_tokens},
-            {"completion_tokens", one.completion_tokens},
-            {"spent_tokens", one.spent_tokens},
-            {"cost", one.cost}};
+    return {{"request", record.request},
+            {"team", record.team},
+            {"version", record.version},
+            {"endpoint", record.endpoint},
+            {"prompt_tokens", record.prompt_tokens},
+            {"completion_tokens", record.completion_tokens},
+            {"spent_tokens", record.spent_tokens},
+            {"cost", record.cost}};
 }
 
 bill read_bill(const json& value)
--- a/adapters/src/stored_values_json.cpp
+++ b/adapters/src/stored_values_json.cpp
@@ -45,10 +45,10 @@
     return value.get<double>();
 }
 
-std::uint64_t count_field(const json& object, const char* name, std::uint64_t most)
+std::uint64_t count_field(const json& object, const char* name, std::uint64_t max)
 {
     const json& value = field(object, name);
-    if (!value.is_number_unsigned() || value.get<std::uint64_t>() > most) {
+    if (!value.is_number_unsigned() || value.get<std::uint64_t>() > max) {
         throw malformed_value();
     }
     return value.get<std::uint64_t>();
--- a/adapters/src/stored_values_json.hpp
+++ b/adapters/src/stored_values_json.hpp
@@ -15,26 +15,26 @@
 
 namespace pearhaven::adapters {
 
-// Thrown while a stored value is read that lacks a field or has one of another type.
+// Thrown on reading a stored value that lacks a field or has a field of a wrong type.
 class malformed_value : public std::exception {};
 
 std::string to_stored_text(const nlohmann::json& value);
 
-// Strict: where nlohmann::json would turn -1 into a huge count or null into an empty list, these
-// throw `malformed_value`.
+// Strict readers: nlohmann::json would convert -1 to a huge count or null to an empty list; these
+// throw `malformed_value` instead.
 const nlohmann::json& field(const nlohmann::json& object, const char* name);
 const nlohmann::json& list(const nlohmann::json& value);
 std::string text_field(const nlohmann::json& object, const char* name);
 double number_field(const nlohmann::json& object, const char* name);
 std::uint64_t count_field(const nlohmann::json& object, const char* name,
-                          std::uint64_t most = std::numeric_limits<std::uint64_t>::max());
+                          std::uint64_t max = std::numeric_limits<std::uint64_t>::max());
 
 template <class Value>
 std::vector<Value> read_list(const nlohmann::json& value, Value (*read_one)(const nlohmann::json&))
 {
     std::vector<Value> values;
-    for (const auto& one : list(value)) {
-        values.push_back(read_one(one));
+    for (const auto& item : list(value)) {
+        values.push_back(read_one(item));
     }
     return values;
 }
@@ -49,7 +49,7 @@
     return written;
 }
 
-// The stored name of an enumerator.
+// Name under which an enumerator is stored.
 template <class Enum>
 struct stored_name {
     Enum value;
@@ -78,7 +78,8 @@
     throw malformed_value();
 }
 
-// One unreadable value must not end the process that came upon it.
+// Returns nothing for a malformed value, so that one such value cannot end the process that reads
+// it.
 template <class Value>
 std::optional<Value> read_stored_text(std::string_view text,
                                       Value (*read_value)(const nlohmann::json&))
--- a/adapters/test/configuration_codec_test.cpp
+++ b/adapters/test/configuration_codec_test.cpp
@@ -18,10 +18,11 @@
 
 // Loads the table of kinds and what yaml-cpp caches before the first test, which would otherwise
 // seem to leak them.
-const auto loaded = parse_yaml("%YAML 1.2\n---\n# all sorts\nkind: team\nname: &n 'a'\n"
-                               "labels: {b: \"x\\x41y\", c: !!str 2, d: *n, e: !<t> a, f: !t!a a}\n"
-                               "spec:\n- |\n  text\n- >-\n  text\n- [1, 0.5, ~]\n...\n",
-                               "loaded.yaml");
+const auto preloaded =
+    parse_yaml("%YAML 1.2\n---\n# all sorts\nkind: team\nname: &n 'a'\n"
+               "labels: {b: \"x\\x41y\", c: !!str 2, d: *n, e: !<t> a, f: !t!a a}\n"
+               "spec:\n- |\n  text\n- >-\n  text\n- [1, 0.5, ~]\n...\n",
+               "loaded.yaml");
 
 // All faults as people see them, one a line, so that a failing check shows both sides.
 std::string faults_of(const std::vector<configuration_fault>& faults)
--- a/adapters/test/flags_test.cpp
+++ b/adapters/test/flags_test.cpp
@@ -109,9 +109,10 @@
     const flag_file own("flags_test_own.flags", "--flagfile=flags_test_own.flags\n");
     const auto faults = read({"program", "--flagfile=flags_test_own.flags"}).faults;
     CHECK_EQUAL(1U, faults.size());
-    CHECK_EQUAL(std::string("--flagfile: found \"flags_test_own.flags\" within itself, allowed are "
-                            "files that do not name themselves, nor name each other in a ring"),
-                faults.at(0));
+    CHECK_EQUAL(
+        std::string("--flagfile: found \"flags_test_own.flags\" within itself, allowed are "
+                    "files that do not include themselves, directly or through other files"),
+        faults.at(0));
 }
 
 TEST(flags_test, a_ring_of_flag_files_is_a_fault_however_it_is_written)
--- a/adapters/test/parser_fuzz_test.cpp
+++ b/adapters/test/parser_fuzz_test.cpp
@@ -69,11 +69,11 @@
 std::optional<std::string> read_pieces(http_reader_kind kind,
                                        const std::vector<std::string_view>& pieces)
 {
-    transcript told;
-    http_reader reader(kind, told, max_head);
-    std::size_t came = 0;
+    transcript output;
+    http_reader reader(kind, output, max_head);
+    std::size_t received_bytes = 0;
     for (auto piece : pieces) {
-        came += piece.size();
+        received_bytes += piece.size();
         while (!piece.empty() && reader.fault() == framing_fault::none) {
             const auto taken = reader.feed(piece);
             if (taken > piece.size() || (taken == 0 && reader.fault() == framing_fault::none)) {
@@ -83,17 +83,17 @@
         }
     }
     reader.feed_end();
-    if (told.body_bytes > came) {
+    if (output.body_bytes > received_bytes) {
         return std::nullopt;
     }
-    return told.text + "fault " + std::to_string(static_cast<int>(reader.fault()));
+    return output.text + "fault " + std::to_string(static_cast<int>(reader.fault()));
 }
 
-bool reads_alike_however_split(http_reader_kind kind, const std::string& bytes,
-                               byte_mutator& mutator)
+bool reads_same_for_any_split(http_reader_kind kind, const std::string& bytes,
+                              byte_mutator& mutator)
 {
-    const auto in_one = read_pieces(kind, {bytes});
-    return in_one && in_one == read_pieces(kind, mutator.split(bytes));
+    const auto unsplit = read_pieces(kind, {bytes});
+    return unsplit && unsplit == read_pieces(kind, mutator.split(bytes));
 }
 
 const std::string two_requests =
@@ -118,7 +118,7 @@
 
 // Whether what is read from the bytes, if anything, is read again from its own stored form.
 template <class Read, class Write>
-bool comes_back(const std::string& bytes, const Read& read, const Write& write)
+bool round_trips(const std::string& bytes, const Read& read, const Write& write)
 {
     const auto value = read(bytes);
     return !value || read(write(*value)) == value;
@@ -153,7 +153,7 @@
 )";
 
 // YAML-cpp keeps tables from its first text on, which would otherwise count as leaks of a test.
-const auto loaded = parse_yaml(
+const auto preloaded = parse_yaml(
     "%YAML 1.2\n---\na: !<t> |\n x\nb: !t!a >-\n y\nc: !!str \"\\x41\"\n", "loaded.yaml");
 
 } // namespace
@@ -168,11 +168,11 @@
     for (const auto& example : requests) {
         CHECK_TRUE(read_pieces(http_reader_kind::requests, {example})->ends_with("fault 0"));
     }
-    const auto wrong =
+    const auto failure =
         first_fault(requests, 2'000, [](const std::string& bytes, byte_mutator& mutator) {
-            return reads_alike_however_split(http_reader_kind::requests, bytes, mutator);
+            return reads_same_for_any_split(http_reader_kind::requests, bytes, mutator);
         });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, responses_read_alike_however_they_are_split)
@@ -180,11 +180,11 @@
     for (const auto& example : responses) {
         CHECK_TRUE(read_pieces(http_reader_kind::responses, {example})->ends_with("fault 0"));
     }
-    const auto wrong =
+    const auto failure =
         first_fault(responses, 2'000, [](const std::string& bytes, byte_mutator& mutator) {
-            return reads_alike_however_split(http_reader_kind::responses, bytes, mutator);
+            return reads_same_for_any_split(http_reader_kind::responses, bytes, mutator);
         });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, stored_heads_and_pages)
@@ -196,15 +196,15 @@
                                                codec->write_page({{"team", "a", "{\"x\":1}"}})};
     CHECK_TRUE(codec->read_head(examples[0]).has_value());
     CHECK_TRUE(codec->read_page(examples[1]).has_value());
-    const auto wrong = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
-        return comes_back(
+    const auto failure = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
+        return round_trips(
                    bytes, [&](const std::string& text) { return codec->read_head(text); },
                    [&](const auto& value) { return codec->write_head(value); }) &&
-               comes_back(
+               round_trips(
                    bytes, [&](const std::string& text) { return codec->read_page(text); },
                    [&](const auto& value) { return codec->write_page(value); });
     });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, stored_bills)
@@ -213,12 +213,12 @@
     const std::vector<std::string> examples = {
         codec->write_bills({{"r-1", "deposits", "v-1", "10.0.0.1:80", 12, 34, 5, 46.5}})};
     CHECK_TRUE(codec->read_bills(examples[0]).has_value());
-    const auto wrong = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
-        return comes_back(
+    const auto failure = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
+        return round_trips(
             bytes, [&](const std::string& text) { return codec->read_bills(text); },
             [&](const auto& value) { return codec->write_bills(value); });
     });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, stored_members)
@@ -227,12 +227,12 @@
     const std::vector<std::string> examples = {codec->write_member(
         {"i-1", "10.0.0.2", 7000, 7001, "osu", 3, coordination::member_state::leaving, 9})};
     CHECK_TRUE(codec->read_member(examples[0]).has_value());
-    const auto wrong = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
-        return comes_back(
+    const auto failure = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
+        return round_trips(
             bytes, [&](const std::string& text) { return codec->read_member(text); },
             [&](const auto& value) { return codec->write_member(value); });
     });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, stored_claims_and_duties)
@@ -246,15 +246,15 @@
     CHECK_TRUE(claims->read_claim(examples[0]).has_value());
     CHECK_TRUE(claims->read_claim(examples[1]).has_value());
     CHECK_TRUE(duties->read_duty(examples[2]).has_value());
-    const auto wrong = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
-        return comes_back(
+    const auto failure = first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator&) {
+        return round_trips(
                    bytes, [&](const std::string& text) { return claims->read_claim(text); },
                    [&](const auto& value) { return claims->write_claim(value); }) &&
-               comes_back(
+               round_trips(
                    bytes, [&](const std::string& text) { return duties->read_duty(text); },
                    [&](const auto& value) { return duties->write_duty(value); });
     });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, records_and_evidence_of_rollouts)
@@ -265,16 +265,16 @@
         write_router_evidence({28, progress_state::load_trial, {31, 2}, {20, 7}, {11, 1}, 3.5})};
     CHECK_TRUE(read_progress_record(examples[0]).has_value());
     CHECK_TRUE(read_router_evidence(examples[1]).has_value());
-    const auto wrong = first_fault(examples, 1'000, [](const std::string& bytes, byte_mutator&) {
-        return comes_back(bytes, read_progress_record, write_progress_record) &&
-               comes_back(bytes, read_router_evidence, write_router_evidence);
+    const auto failure = first_fault(examples, 1'000, [](const std::string& bytes, byte_mutator&) {
+        return round_trips(bytes, read_progress_record, write_progress_record) &&
+               round_trips(bytes, read_router_evidence, write_router_evidence);
     });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, answers_of_the_key_value_store)
 {
-    const std::vector<coordination::kv_request> asked = {
+    const std::vector<coordination::kv_request> kv_requests = {
         coordination::kv_get{"a"}, coordination::kv_range{"a"},
         coordination::kv_compare_and_swap{"a", "b", 1, 0},
         coordination::kv_grant_lease{std::chrono::seconds(1)}};
@@ -282,15 +282,15 @@
         R"({"revision":7,"lease":3,"key":"a","value":"b"})",
         R"({"revision":7,"entries":[{"key":"a","value":"b","revision":5}]})",
         R"({"revision":7,"events":[{"key":"a","value":null,"revision":5}]})"};
-    const auto wrong =
+    const auto failure =
         first_fault(examples, 1'000, [&](const std::string& bytes, byte_mutator& mutator) {
             http_answer answer;
             answer.result.status = 200;
             answer.body = bytes;
-            static_cast<void>(to_reply(asked[mutator.below(asked.size())], answer));
+            static_cast<void>(to_reply(kv_requests[mutator.below(kv_requests.size())], answer));
             return true;
         });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 // An entry that names something else than a place on the network would be an endpoint that is
@@ -304,7 +304,7 @@
         R"({"hosts":[]})"};
     CHECK_EQUAL(2U, read_host_list(examples[0])->size());
     CHECK_TRUE(read_host_list(examples[1])->empty());
-    const auto wrong = first_fault(examples, 2'000, [](const std::string& bytes, byte_mutator&) {
+    const auto failure = first_fault(examples, 2'000, [](const std::string& bytes, byte_mutator&) {
         const auto hosts = read_host_list(bytes).value_or(std::vector<listed_host>());
         return std::all_of(hosts.begin(), hosts.end(), [](const listed_host& host) {
             const auto colon = host.address.rfind(':');
@@ -314,7 +314,7 @@
                    std::stoul("0" + host.address.substr(colon + 1)) - 1 < 65'535U;
         });
     });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, frames_come_out_alike_however_they_are_split)
@@ -322,28 +322,28 @@
     const frame_code code{};
     const std::vector<std::string> examples = {make_frame(code, "") + make_frame(code, "payload"),
                                                make_frame(code, std::string(300, 'x'))};
-    const auto cut = [](const std::vector<std::string_view>& pieces) {
+    const auto read_frames = [](const std::vector<std::string_view>& pieces) {
         constexpr std::size_t max_payload = 1024;
         frame_buffer buffer;
-        std::string told;
+        std::string output;
         for (const auto piece : pieces) {
             buffer.append(piece);
             frame one;
             auto outcome = buffer.next(max_payload, one);
-            for (; outcome == frame_outcome::whole; outcome = buffer.next(max_payload, one)) {
-                told.append(one.code.begin(), one.code.end()).append(one.payload).append("|");
+            for (; outcome == frame_outcome::complete; outcome = buffer.next(max_payload, one)) {
+                output.append(one.code.begin(), one.code.end()).append(one.payload).append("|");
             }
             if (outcome == frame_outcome::oversized) {
-                return told + "oversized";
+                return output + "oversized";
             }
         }
-        return told;
+        return output;
     };
-    const auto wrong =
+    const auto failure =
         first_fault(examples, 2'000, [&](const std::string& bytes, byte_mutator& mutator) {
-            return cut({bytes}) == cut(mutator.split(bytes));
+            return read_frames({bytes}) == read_frames(mutator.split(bytes));
         });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, a_changed_frame_has_no_valid_code)
@@ -354,11 +354,12 @@
     const std::string payload = "some payload";
     frame_authenticator sender(key, opener, acceptor, frame_direction::from_opener);
     const auto code = sender.next_code(payload);
-    const auto wrong = first_fault({payload}, 1'000, [&](const std::string& bytes, byte_mutator&) {
-        frame_authenticator receiver(key, opener, acceptor, frame_direction::from_opener);
-        return receiver.accept_next(code, bytes) == (bytes == payload);
-    });
-    CHECK_EQUAL(std::string(), wrong);
+    const auto failure =
+        first_fault({payload}, 1'000, [&](const std::string& bytes, byte_mutator&) {
+            frame_authenticator receiver(key, opener, acceptor, frame_direction::from_opener);
+            return receiver.accept_next(code, bytes) == (bytes == payload);
+        });
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, messages_of_peers)
@@ -371,7 +372,7 @@
         CHECK_TRUE(decode_envelope(example).has_value());
     }
     // Encoded forms are compared, since a number that is none is not equal to itself.
-    const auto wrong = first_fault(payloads, 2'000, [](const std::string& bytes, byte_mutator&) {
+    const auto failure = first_fault(payloads, 2'000, [](const std::string& bytes, byte_mutator&) {
         const auto read = decode_envelope(bytes);
         if (!read) {
             return true;
@@ -380,13 +381,13 @@
         const auto again = decode_envelope(written);
         return again && encode_envelope(*again) == written;
     });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, configuration_as_yaml)
 {
     CHECK_TRUE(parse_yaml(yaml, "a.yaml").faults.empty());
-    const auto wrong = first_fault(
+    const auto failure = first_fault(
         {yaml, "a: &a [1, 2]\nb: [*a, *a]\n"}, 300, [](const std::string& bytes, byte_mutator&) {
             const auto read = parse_yaml(bytes, "a.yaml");
             if (read.objects.size() != read.places.size()) {
@@ -404,7 +405,7 @@
             }
             return true;
         });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
 
 TEST(parser_fuzz, stored_configuration_objects)
@@ -415,7 +416,7 @@
         CHECK_TRUE(check_object(object).empty());
         bodies.push_back(object.body);
     }
-    const auto wrong =
+    const auto failure =
         first_fault(bodies, 500, [&](const std::string& bytes, byte_mutator& mutator) {
             auto object = valid[mutator.below(valid.size())];
             object.body = bytes;
@@ -423,5 +424,5 @@
             const auto built = build_configuration(1, {object});
             return built.configuration != nullptr && built.faults.empty() == faults.empty();
         });
-    CHECK_EQUAL(std::string(), wrong);
+    CHECK_EQUAL(std::string(), failure);
 }
--- a/adapters/test/peer_link_test.cpp
+++ b/adapters/test/peer_link_test.cpp
@@ -63,7 +63,7 @@
     return config_pull{number, 0};
 }
 
-std::uint64_t number_of(const peer_envelope& envelope)
+std::uint64_t number_in(const peer_envelope& envelope)
 {
     return std::get<config_pull>(envelope.message).nonce;
 }
@@ -108,17 +108,17 @@
 
     void write(const std::string& bytes) const { this->wire.send(bytes); }
 
-    std::string frame_of(const std::string& payload)
+    std::string frame_for(const std::string& payload)
     {
         return make_frame(this->authenticator->next_code(payload), payload);
     }
 
     std::string message(std::uint64_t number, const std::string& from = "raw")
     {
-        return this->frame_of(encode_envelope({from, {"127.0.0.1", 1}, numbered(number)}));
+        return this->frame_for(encode_envelope({from, {"127.0.0.1", 1}, numbered(number)}));
     }
 
-    void open() { this->write(this->frame_of("")); }
+    void open() { this->write(this->frame_for("")); }
     void wait_until_closed() const { this->wire.wait_until_closed(); }
     void reset() const { this->wire.reset(); }
 
@@ -144,7 +144,7 @@
         sender.link->send(receiver.address(), numbered(99));
         CHECK_TRUE(receiver.receives(delivered_before + 1));
         LONGS_EQUAL(delivered_before + 1, receiver.received().size());
-        LONGS_EQUAL(99, number_of(receiver.received().back()));
+        LONGS_EQUAL(99, number_in(receiver.received().back()));
     }
 };
 
@@ -181,7 +181,7 @@
     const auto received = receiver.received();
     LONGS_EQUAL(count, received.size());
     for (std::uint64_t number = 0; number < count; ++number) {
-        LONGS_EQUAL(number, number_of(received.at(number)));
+        LONGS_EQUAL(number, number_in(received.at(number)));
     }
 }
 
@@ -229,7 +229,7 @@
 {
     const connection_nonce nonce = random_nonce();
     raw_peer peer(receiver, fleet_key, frame_direction::from_opener, nonce);
-    std::string recorded = peer.frame_of("");
+    std::string recorded = peer.frame_for("");
     recorded += peer.message(1);
     peer.write(recorded);
     CHECK_TRUE(receiver.receives(1));
@@ -258,7 +258,7 @@
 {
     raw_peer peer(receiver);
     peer.open();
-    peer.write(peer.frame_of("not a message"));
+    peer.write(peer.frame_for("not a message"));
     check_rejected(peer, 0);
 }
 
@@ -325,15 +325,15 @@
     peer_link_settings settings = settings_for("crowded");
     settings.max_incoming = 5;
     settings.handshake_timeout = std::chrono::seconds(60);
-    recording_link crowded(settings);
+    recording_link limited(settings);
     std::vector<int> strangers(20);
     for (int& stranger : strangers) {
-        stranger = connect_to_loopback(crowded.address().port);
+        stranger = connect_to_loopback(limited.address().port);
     }
     recording_link sender(settings_for("sender"));
-    sender.link->send(crowded.address(), numbered(1));
-    CHECK_TRUE(crowded.receives(1));
-    CHECK_TRUE(crowded.link->counts().connections_refused >= 15);
+    sender.link->send(limited.address(), numbered(1));
+    CHECK_TRUE(limited.receives(1));
+    CHECK_TRUE(limited.link->counts().connections_refused >= 15);
     for (const int stranger : strangers) {
         close(stranger);
     }
@@ -343,15 +343,15 @@
 {
     peer_link_settings settings = settings_for("crowded");
     settings.max_incoming = 1;
-    recording_link crowded(settings);
+    recording_link limited(settings);
     recording_link sender(settings_for("sender"));
-    sender.link->send(crowded.address(), numbered(1));
-    CHECK_TRUE(crowded.receives(1));
-    const int stranger = connect_to_loopback(crowded.address().port);
+    sender.link->send(limited.address(), numbered(1));
+    CHECK_TRUE(limited.receives(1));
+    const int stranger = connect_to_loopback(limited.address().port);
     raw_connection(stranger).wait_until_closed();
     close(stranger);
-    sender.link->send(crowded.address(), numbered(2));
-    CHECK_TRUE(crowded.receives(2));
+    sender.link->send(limited.address(), numbered(2));
+    CHECK_TRUE(limited.receives(2));
     LONGS_EQUAL(0, sender.link->counts().connections_lost);
 }
 
@@ -392,10 +392,10 @@
     // The sender must find out and connect anew. The other end completes the handshake, then never
     // takes a byte, as behind something that has lost track of the connection: no error comes by
     // itself, and the bytes stay unacknowledged.
-    std::atomic<bool> found{false};
+    std::atomic<bool> connection_lost{false};
     raw_server silent([&](raw_connection& connection, int) {
         connection.send(nonce_text(random_nonce()));
-        wait_for(found);
+        wait_for(connection_lost);
     });
     peer_link_settings settings = settings_for("sender");
     settings.unacknowledged_timeout = milliseconds(300);
@@ -405,20 +405,20 @@
     for (int count = 0; count < 16; ++count) {
         sender.link->send({"127.0.0.1", silent.port()}, copy);
     }
-    const bool given_up = eventually([&] { return sender.link->counts().connections_lost > 0; });
-    found = true;
-    CHECK_TRUE(given_up);
+    const bool detected = eventually([&] { return sender.link->counts().connections_lost > 0; });
+    connection_lost = true;
+    CHECK_TRUE(detected);
 }
 
 TEST(peer_link, a_full_queue_loses_its_oldest_messages)
 {
     // The peer accepts and speaks only once more messages wait for it than the queue holds.
-    std::atomic<bool> may_speak{false};
-    std::string taken;
+    std::atomic<bool> may_send_nonce{false};
+    std::string received_bytes;
     raw_server slow([&](raw_connection& connection, int) {
-        eventually([&] { return may_speak.load(); });
+        eventually([&] { return may_send_nonce.load(); });
         connection.send(nonce_text(random_nonce()));
-        taken = connection.read_until_closed();
+        received_bytes = connection.read_until_closed();
     });
     peer_link_settings settings = settings_for("sender");
     settings.max_queued_frames = 3;
@@ -428,17 +428,17 @@
         sender.link->send({"127.0.0.1", slow.port()}, numbered(number));
     }
     CHECK_TRUE(eventually([&] { return sender.link->counts().dropped == 7; }));
-    may_speak = true;
+    may_send_nonce = true;
     CHECK_TRUE(eventually([&] { return sender.link->counts().sent == 3; }));
     sender.link->stop();
     slow.finish();
     frame_buffer frames;
-    frames.append(std::string_view(taken).substr(sizeof(connection_nonce)));
+    frames.append(std::string_view(received_bytes).substr(sizeof(connection_nonce)));
     frame item;
-    CHECK_TRUE(frames.next(0, item) == frame_outcome::whole);
+    CHECK_TRUE(frames.next(0, item) == frame_outcome::complete);
     for (std::uint64_t number = 7; number < 10; ++number) {
-        CHECK_TRUE(frames.next(1000, item) == frame_outcome::whole);
-        LONGS_EQUAL(number, number_of(*decode_envelope(item.payload)));
+        CHECK_TRUE(frames.next(1000, item) == frame_outcome::complete);
+        LONGS_EQUAL(number, number_in(*decode_envelope(item.payload)));
     }
 }
 
@@ -485,9 +485,9 @@
 // message, within one. The next peer's message still arrives.
 TEST(peer_link, a_reset_at_any_step_of_an_incoming_connection_costs_that_connection_alone)
 {
-    const int unheard = connect_to_loopback(receiver.address().port);
-    raw_connection(unheard).reset();
-    close(unheard);
+    const int before_handshake = connect_to_loopback(receiver.address().port);
+    raw_connection(before_handshake).reset();
+    close(before_handshake);
     for (int step = 0; step < 4; ++step) {
         raw_peer peer(receiver);
         if (step > 0) {
@@ -503,7 +503,7 @@
     sender.link->send(receiver.address(), numbered(99));
     CHECK_TRUE(eventually([&] {
         const auto all = receiver.received();
-        return !all.empty() && number_of(all.back()) == 99;
+        return !all.empty() && number_in(all.back()) == 99;
     }));
 }
 
--- a/adapters/test/peer_message_generators.hpp
+++ b/adapters/test/peer_message_generators.hpp
@@ -20,31 +20,31 @@
         using namespace coordination;
         switch (*rc::gen::inRange(0, 11)) {
         case 0:
-            return probe{number(), text(), some(&message_source::one_member)};
+            return probe{number(), text(), few(&message_source::one_member)};
         case 1:
-            return probe_reply{number(), some(&message_source::one_member)};
+            return probe_reply{number(), few(&message_source::one_member)};
         case 2:
             return config_pull{number(), number()};
         case 3:
             return config_update{
-                number(),  number(), time(), number() % 2 == 0, some(&message_source::one_change),
+                number(),  number(), time(), number() % 2 == 0, few(&message_source::one_change),
                 snapshot()};
         case 4:
-            return bill_copy{text(), number(), some(&message_source::one_bill)};
+            return bill_copy{text(), number(), few(&message_source::one_bill)};
         case 5:
             return bill_copy_ack{text(), number()};
         case 6:
             return bill_copy_drop{text(), number()};
         case 7:
-            return load_push{some(&message_source::one_load)};
+            return load_push{few(&message_source::one_load)};
         case 8:
             return mirror_pull{number(), number(), number() % 2 == 0};
         case 9:
             return mirror_update{
-                number(), number(), number() % 2 == 0, some(&message_source::one_entry),
+                number(), number(), number() % 2 == 0, few(&message_source::one_entry),
                 number(), time(),   number()};
         default:
-            return fact_push{some(&message_source::one_fact)};
+            return fact_push{few(&message_source::one_fact)};
         }
     }
 
@@ -59,11 +59,11 @@
     }
 
     template <class Element>
-    static std::vector<Element> some(Element (*one)())
+    static std::vector<Element> few(Element (*make)())
     {
         std::vector<Element> elements(static_cast<std::size_t>(*rc::gen::inRange(0, 4)));
         for (Element& element : elements) {
-            element = one();
+            element = make();
         }
         return elements;
     }
@@ -78,7 +78,7 @@
 
     static coordination::config_change one_change()
     {
-        return {number(), text(), text(), number(), some(&message_source::one_object)};
+        return {number(), text(), text(), number(), few(&message_source::one_object)};
     }
 
     static std::vector<coordination::config_snapshot> snapshot()
@@ -86,7 +86,7 @@
         if (number() % 2 == 0) {
             return {};
         }
-        return {{number(), some(&message_source::one_object)}};
+        return {{number(), few(&message_source::one_object)}};
     }
 
     static coordination::bill one_bill()
--- a/adapters/test/platform_test.cpp
+++ b/adapters/test/platform_test.cpp
@@ -59,7 +59,7 @@
                                         kv_revoke_lease{1}};
 
 // For servers that answer at once, on a machine that may be slow to run them.
-constexpr milliseconds long_patience{10'000};
+constexpr milliseconds long_timeout{10'000};
 
 } // namespace
 
@@ -68,34 +68,34 @@
     std::unique_ptr<http_client> client = make_http_client({});
 
     kv_reply ask(const std::string& url, const kv_request& request,
-                 milliseconds patience = milliseconds(400)) const
+                 milliseconds timeout = milliseconds(400)) const
     {
-        const auto store = make_key_value_store(*this->client, url, patience);
+        const auto store = make_key_value_store(*this->client, url, timeout);
         return call_and_wait(*store, request);
     }
 
     kv_reply answered(int status, const std::string& body, const kv_request& request) const
     {
         fixed_server server(status, body);
-        return this->ask(server.url(), request, long_patience);
+        return this->ask(server.url(), request, long_timeout);
     }
 
     std::string sent(const kv_request& request) const
     {
         fixed_server server(200, "{}");
-        this->ask(server.url(), request, long_patience);
+        this->ask(server.url(), request, long_timeout);
         return server.last_request();
     }
 
-    void check_all(const std::string& url, kv_outcome of_reads, kv_outcome of_writes) const
+    void check_all(const std::string& url, kv_outcome read_outcome, kv_outcome write_outcome) const
     {
         for (const kv_request& request : reads) {
             const kv_outcome outcome = this->ask(url, request).outcome;
-            CHECK_EQUAL(of_reads, outcome);
+            CHECK_EQUAL(read_outcome, outcome);
         }
         for (const kv_request& request : writes) {
             const kv_outcome outcome = this->ask(url, request).outcome;
-            CHECK_EQUAL(of_writes, outcome);
+            CHECK_EQUAL(write_outcome, outcome);
         }
     }
 };
