--- a/adapters/src/configuration_codec_kinds.cpp
+++ b/adapters/src/configuration_codec_kinds.cpp
@@ -39,13 +39,13 @@
     if (found == spec.end()) {
         return;
     }
-    decision::selector chosen;
+    decision::selector parsed;
     if (found->is_object()) {
         for (const auto& [label, values] : found->items()) {
-            chosen = chosen.require(label, values.get<std::vector<std::string>>());
+            parsed = parsed.require(label, values.get<std::vector<std::string>>());
         }
     }
-    member = std::move(chosen);
+    member = std::move(parsed);
 }
 
 void no_consistency_check(const object_parts& /*object*/, fault_collector& /*faults*/) {}
--- a/adapters/src/configuration_codec_references.cpp
+++ b/adapters/src/configuration_codec_references.cpp
@@ -31,10 +31,10 @@
     // If two teams shared a key, one team would be billed for the requests of the other.
     void check_team_keys()
     {
-        std::map<std::string, std::string> holder;
+        std::map<std::string, std::string> team_by_key;
         for (const auto& [name, object] : this->current.teams()) {
             for (const auto& digest : object.key_sha256) {
-                const auto [first, fresh] = holder.emplace(digest, name);
+                const auto [first, fresh] = team_by_key.emplace(digest, name);
                 if (!fresh) {
                     this->add("team/" + name, "spec.key_sha256",
                               "\"" + digest + "\", which team " + first->second + " holds",
--- a/adapters/src/key_value_wire.cpp
+++ b/adapters/src/key_value_wire.cpp
@@ -89,7 +89,7 @@
     return post("/v1/lease/revoke", {{"lease", request.lease}});
 }
 
-bool fits(const kv_request& request)
+bool has_allowed_size(const kv_request& request)
 {
     const auto* const write = std::get_if<kv_compare_and_swap>(&request);
     return write == nullptr || write->value.size() <= max_value_bytes;
@@ -227,15 +227,15 @@
 std::optional<http_request> to_http(const kv_request& request, const std::string& base_url,
                                     std::chrono::milliseconds timeout)
 {
-    if (!fits(request)) {
+    if (!has_allowed_size(request)) {
         return std::nullopt;
     }
     http_request http;
     try {
-        call wanted = std::visit([](const auto& kind) { return to_call(kind); }, request);
-        http.method = std::move(wanted.method);
-        http.url = base_url + wanted.path;
-        http.body = std::move(wanted.body);
+        call http_call = std::visit([](const auto& kind) { return to_call(kind); }, request);
+        http.method = std::move(http_call.method);
+        http.url = base_url + http_call.path;
+        http.body = std::move(http_call.body);
     } catch (const json::exception&) {
         return std::nullopt; // not UTF-8
     }
--- a/adapters/src/link_connection.cpp
+++ b/adapters/src/link_connection.cpp
@@ -27,10 +27,10 @@
     this->on_deadline(now);
 }
 
-void link_connection::set_deadline(monotonic_time wanted)
+void link_connection::set_deadline(monotonic_time new_deadline)
 {
-    this->deadline = wanted;
-    this->context.deadlines.arm(*this, wanted);
+    this->deadline = new_deadline;
+    this->context.deadlines.arm(*this, new_deadline);
 }
 
 void link_connection::watch(int socket, bool readable, bool writable)
--- a/adapters/src/link_connection.hpp
+++ b/adapters/src/link_connection.hpp
@@ -35,8 +35,8 @@
 // State shared by the connections of one link. Used only on the link's thread, except for the
 // counters.
 struct link_context {
-    explicit link_context(const peer_link_settings& wanted)
-        : settings(wanted), key(wanted.fleet_key)
+    explicit link_context(const peer_link_settings& link_settings)
+        : settings(link_settings), key(link_settings.fleet_key)
     {}
 
     const peer_link_settings settings;
--- a/adapters/src/peer_link.cpp
+++ b/adapters/src/peer_link.cpp
@@ -76,7 +76,7 @@
     std::optional<monotonic_time> accept_resume_time;
     std::vector<submission> taken_submissions;
 
-    std::mutex mutex; // guards the two below
+    std::mutex mutex; // guards `submitted` and `stopping`
     std::vector<submission> submitted;
     bool stopping = false;
     std::mutex stop_mutex;
@@ -243,8 +243,8 @@
     }
 }
 
-// At the limit, evicts the oldest connection that has not authenticated yet, so that strangers
-// cannot lock out routers by holding connections.
+// At the limit, evicts the oldest connection that has not authenticated yet, so that
+// unauthenticated clients cannot lock out routers by holding connections.
 bool tcp_peer_link::make_room()
 {
     if (this->incoming.size() < this->context.settings.max_incoming) {
--- a/adapters/src/stored_claims.cpp
+++ b/adapters/src/stored_claims.cpp
@@ -40,7 +40,7 @@
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): libsodium takes bytes.
     const auto* const start = reinterpret_cast<const unsigned char*>(bytes.data());
     sodium_bin2base64(text.data(), text.size(), start, bytes.size(), base64_variant);
-    text.pop_back(); // the terminating zero
+    text.pop_back(); // the terminating null byte
     return text;
 }
 
--- a/adapters/test/peer_link_test.cpp
+++ b/adapters/test/peer_link_test.cpp
@@ -201,10 +201,10 @@
 
 TEST(peer_link, a_peer_without_the_fleet_key_is_rejected)
 {
-    raw_peer stranger(receiver, std::string(32, 'x'));
-    stranger.open();
-    stranger.write(stranger.message(1));
-    check_rejected(stranger, 0);
+    raw_peer client(receiver, std::string(32, 'x'));
+    client.open();
+    client.write(client.message(1));
+    check_rejected(client, 0);
 }
 
 TEST(peer_link, a_frame_sent_twice_is_rejected)
@@ -328,16 +328,16 @@
     settings.max_incoming = 5;
     settings.handshake_timeout = std::chrono::seconds(60);
     recording_link limited(settings);
-    std::vector<int> strangers(20);
-    for (int& stranger : strangers) {
-        stranger = connect_to_loopback(limited.address().port);
+    std::vector<int> clients(20);
+    for (int& client : clients) {
+        client = connect_to_loopback(limited.address().port);
     }
     recording_link sender(settings_for("sender"));
     sender.link->send(limited.address(), numbered(1));
     CHECK_TRUE(limited.receives(1));
     CHECK_TRUE(limited.link->counts().connections_refused >= 15);
-    for (const int stranger : strangers) {
-        close(stranger);
+    for (const int client : clients) {
+        close(client);
     }
 }
 
@@ -349,9 +349,9 @@
     recording_link sender(settings_for("sender"));
     sender.link->send(limited.address(), numbered(1));
     CHECK_TRUE(limited.receives(1));
-    const int stranger = connect_to_loopback(limited.address().port);
-    raw_connection(stranger).wait_until_closed();
-    close(stranger);
+    const int client = connect_to_loopback(limited.address().port);
+    raw_connection(client).wait_until_closed();
+    close(client);
     sender.link->send(limited.address(), numbered(2));
     CHECK_TRUE(limited.receives(2));
     LONGS_EQUAL(0, sender.link->counts().connections_lost);
--- a/adapters/test/platform_test.cpp
+++ b/adapters/test/platform_test.cpp
@@ -197,16 +197,16 @@
 {
     // The outcome must be `unknown`. The pooled connection accepts the write and closes without an
     // answer; an automatic resend would conflict with the effect of the first copy.
-    std::atomic<int> sendings{0};
-    raw_server server([&sendings](raw_connection& connection, int) {
+    std::atomic<int> sends{0};
+    raw_server server([&sends](raw_connection& connection, int) {
         connection.read_request();
         connection.answer(404, R"({"revision":1})");
-        sendings += connection.read_request().find("/v1/cas") != std::string::npos ? 1 : 0;
+        sends += connection.read_request().find("/v1/cas") != std::string::npos ? 1 : 0;
     });
     ask(server.url(), kv_get{"k"});
     const kv_outcome outcome = ask(server.url(), writes[0]).outcome;
     CHECK_EQUAL(kv_outcome::unknown, outcome);
-    LONGS_EQUAL(1, sendings.load());
+    LONGS_EQUAL(1, sends.load());
 }
 
 TEST(key_value_store, values_that_the_service_cannot_store_are_not_sent)
