--- a/adapters/src/configuration_codec.cpp
+++ b/adapters/src/configuration_codec.cpp
@@ -178,8 +178,8 @@
         auto object = read_document(document.value, faults);
         if (object) {
             const auto key = object_key(object->kind, object->name);
-            const auto [first, fresh] = first_line.emplace(key, line);
-            if (!fresh) {
+            const auto [first, inserted] = first_line.emplace(key, line);
+            if (!inserted) {
                 faults.add("name", key + " a second time",
                            "each object once (this one is also at line " +
                                std::to_string(first->second) + ")");
--- a/adapters/src/configuration_codec_references.cpp
+++ b/adapters/src/configuration_codec_references.cpp
@@ -34,8 +34,8 @@
         std::map<std::string, std::string> team_by_key;
         for (const auto& [name, object] : this->current.teams()) {
             for (const auto& digest : object.key_sha256) {
-                const auto [first, fresh] = team_by_key.emplace(digest, name);
-                if (!fresh) {
+                const auto [first, inserted] = team_by_key.emplace(digest, name);
+                if (!inserted) {
                     this->add("team/" + name, "spec.key_sha256",
                               "\"" + digest + "\", which team " + first->second + " holds",
                               "each key once");
