--- a/adapters/src/course_codec.cpp
+++ b/adapters/src/progress_codec.cpp
@@ -1,4 +1,4 @@
-#include "pearhaven/adapters/course_codec.hpp"
+#include "pearhaven/adapters/progress_codec.hpp"
 
 #include "stored_values_json.hpp"
 
@@ -21,43 +21,43 @@
      {progress_state::finished, "finished"},
      {progress_state::bad, "bad"}}};
 
-// What another writer may have put in place of a count or a share. A step is counted through, one
-// by one, whenever it is looked up; a rate is added to others.
-constexpr std::uint64_t most_steps = 1000;
-constexpr std::uint64_t most_routers = 100'000;
+// Upper bounds for values that another writer may have stored. Steps are iterated one by one on
+// each lookup, and rates are summed.
+constexpr std::uint64_t max_steps = 1000;
+constexpr std::uint64_t max_routers = 100'000;
 constexpr std::uint64_t million = 1'000'000;
-constexpr std::uint64_t most_answers = 1'000'000'000'000;
-constexpr double highest_rate = 1e9;
+constexpr std::uint64_t max_answers = 1'000'000'000'000;
+constexpr double max_rate = 1e9;
 
-std::uint32_t short_count_field(const json& value, const char* name, std::uint64_t most)
+std::uint32_t short_count_field(const json& value, const char* name, std::uint64_t max)
 {
-    return static_cast<std::uint32_t>(count_field(value, name, most));
+    return static_cast<std::uint32_t>(count_field(value, name, max));
 }
 
 std::uint64_t answers_field(const json& value, const char* name)
 {
-    return count_field(value, name, most_answers);
+    return count_field(value, name, max_answers);
 }
 
 progress_record read_record_value(const json& value)
 {
     progress_record record;
     record.run = count_field(value, "run");
-    record.step = short_count_field(value, "step", most_steps);
-    record.routers = short_count_field(value, "routers", most_routers);
+    record.step = short_count_field(value, "step", max_steps);
+    record.routers = short_count_field(value, "routers", max_routers);
     if (record.routers == 0) {
         throw malformed_value();
     }
     record.session_ppm = short_count_field(value, "session_ppm", million);
     record.state = read_name(state_names, text_field(value, "state"));
-    // Routers of an earlier release fill an endpoint with all requests that may.
+    // Routers of an earlier release fill an endpoint with all eligible requests.
     if (value.contains("fill_ppm")) {
         record.fill_ppm = short_count_field(value, "fill_ppm", million);
     }
     return record;
 }
 
-// Routers of an earlier release tell no runs under load.
+// Routers of an earlier release do not report runs by load.
 decision::load_counts read_load_counts(const json& value)
 {
     decision::load_counts counts{};
@@ -96,7 +96,7 @@
     evidence.earlier.good = answers_field(value, "earlier_good");
     evidence.earlier.bad = answers_field(value, "earlier_bad");
     evidence.long_answer_rate = number_field(value, "long_rate");
-    if (evidence.long_answer_rate < 0.0 || evidence.long_answer_rate > highest_rate) {
+    if (evidence.long_answer_rate < 0.0 || evidence.long_answer_rate > max_rate) {
         throw malformed_value();
     }
     evidence.under_load = read_load_counts(value);
@@ -105,7 +105,7 @@
 
 } // namespace
 
-std::string write_course_record(const progress_record& record)
+std::string write_progress_record(const progress_record& record)
 {
     return to_stored_text({{"run", record.run},
                            {"step", record.step},
@@ -115,12 +115,12 @@
                            {"state", write_name(state_names, record.state)}});
 }
 
-std::optional<progress_record> read_course_record(std::string_view text)
+std::optional<progress_record> read_progress_record(std::string_view text)
 {
     return read_stored_text(text, read_record_value);
 }
 
-std::string write_course_evidence(const router_evidence& evidence)
+std::string write_router_evidence(const router_evidence& evidence)
 {
     return to_stored_text({{"run", evidence.run},
                            {"part", write_name(state_names, evidence.state)},
@@ -134,7 +134,7 @@
                            {"under_load", write_load_counts(evidence.under_load)}});
 }
 
-std::optional<router_evidence> read_course_evidence(std::string_view text)
+std::optional<router_evidence> read_router_evidence(std::string_view text)
 {
     return read_stored_text(text, read_evidence_value);
 }
