--- a/benchmarks/change_main.cpp
+++ b/benchmarks/change_main.cpp
@@ -232,7 +232,7 @@
 
     platform::stated_size size;
     std::string text;
-    platform::stated_configuration stated;
+    platform::declared_configuration stated;
     std::vector<decision::endpoint_host> listed;
     decision::configuration_ptr ready;
     std::array<decision::configuration_ptr, 2> same;
--- a/router/src/main.cpp
+++ b/router/src/main.cpp
@@ -69,7 +69,7 @@
         std::fputs(pearhaven::router::settings_help().c_str(), stdout);
         return 0;
     }
-    if (pearhaven::platform::is_wanted() && parsed.flag_faults.empty()) {
+    if (pearhaven::platform::is_enabled() && parsed.flag_faults.empty()) {
         return pearhaven::platform::run();
     }
     for (const auto& fault : parsed.faults) {
