--- a/benchmarks/change_main.cpp
+++ b/benchmarks/change_main.cpp
@@ -72,7 +72,7 @@
 public:
     changed_router(std::size_t routes, std::size_t endpoints)
         : size{routes, hosts, std::max<std::size_t>(1, endpoints / endpoints_per_service), teams},
-          text(platform::stated_text(this->size, 1))
+          text(platform::sample_configuration_text(this->size, 1))
     {
         this->parse();
         for (std::size_t number = 0; number < endpoints; ++number) {
@@ -122,8 +122,8 @@
     void find_route()
     {
         const auto number = this->next_number(this->size.routes);
-        const auto path = platform::stated_prefix(number) + "item?query";
-        const auto host = platform::stated_host(number % hosts) + ":8080";
+        const auto path = platform::sample_path_prefix(number) + "item?query";
+        const auto host = platform::sample_host_name(number % hosts) + ":8080";
         if (this->ready->routes().find(host, path) == nullptr) {
             give_up("a route was not found");
         }
@@ -172,7 +172,7 @@
     void add_versions(decision::configuration_builder& builder) const
     {
         for (std::size_t number = 0; number < this->size.services; ++number) {
-            const auto name = platform::stated_service(number);
+            const auto name = platform::sample_service_name(number);
             decision::version made;
             made.name = name;
             made.model = name;
@@ -186,7 +186,7 @@
         decision::endpoint_host host;
         host.address = "endpoint-" + std::to_string(number);
         host.incarnation = 1;
-        host.tags = {{"served", platform::stated_service(number % this->size.services)}};
+        host.tags = {{"served", platform::sample_service_name(number % this->size.services)}};
         return host;
     }
 
@@ -230,7 +230,7 @@
         return this->different.at(++this->hand_overs % this->different.size());
     }
 
-    platform::stated_size size;
+    platform::sample_configuration_size size;
     std::string text;
     platform::stated_configuration stated;
     std::vector<decision::endpoint_host> listed;
