--- a/benchmarks/change_main.cpp
+++ b/benchmarks/change_main.cpp
@@ -1,5 +1,5 @@
 #include "codec.hpp"
-#include "stated_text.hpp"
+#include "sample_configuration.hpp"
 
 #include "pearhaven/decision/dispatcher.hpp"
 
