--- a/control/src/apply_command.cpp
+++ b/control/src/apply_command.cpp
@@ -18,14 +18,15 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (context.settings.files.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto wanted = read_object_files(context);
-        if (!wanted || !may_change(context)) {
+        if (!wanted || !has_valid_wait_settings(context)) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
-        return seen.error ? refuse(context, seen.error) : make_change(context, seen, *wanted);
+        return seen.error ? report_error(context, seen.error)
+                          : submit_change(context, seen, *wanted);
     }
 };
 
--- a/control/src/bills_command.cpp
+++ b/control/src/bills_command.cpp
@@ -19,13 +19,13 @@
     std::uint64_t spent_tokens = 0;
     double cost = 0.0;
 
-    void add(const bill& one)
+    void add(const bill& entry)
     {
         ++this->requests;
-        this->prompt_tokens += one.prompt_tokens;
-        this->completion_tokens += one.completion_tokens;
-        this->spent_tokens += one.spent_tokens;
-        this->cost += one.cost;
+        this->prompt_tokens += entry.prompt_tokens;
+        this->completion_tokens += entry.completion_tokens;
+        this->spent_tokens += entry.spent_tokens;
+        this->cost += entry.cost;
     }
 };
 
@@ -38,16 +38,16 @@
     return text.str();
 }
 
-json bill_json(const bill& one)
+json bill_json(const bill& entry)
 {
-    return {{"request", one.request},
-            {"team", one.team},
-            {"version", one.version},
-            {"endpoint", one.endpoint},
-            {"prompt_tokens", one.prompt_tokens},
-            {"completion_tokens", one.completion_tokens},
-            {"spent_tokens", one.spent_tokens},
-            {"cost", one.cost}};
+    return {{"request", entry.request},
+            {"team", entry.team},
+            {"version", entry.version},
+            {"endpoint", entry.endpoint},
+            {"prompt_tokens", entry.prompt_tokens},
+            {"completion_tokens", entry.completion_tokens},
+            {"spent_tokens", entry.spent_tokens},
+            {"cost", entry.cost}};
 }
 
 json total_json(const team_and_version& key, const bill_total& total)
@@ -85,16 +85,16 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (!context.settings.arguments.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto loaded = context.store.bills();
         if (loaded.error) {
-            return refuse(context, loaded.error);
+            return report_error(context, loaded.error);
         }
         show(context, loaded);
         if (loaded.unreadable_pages > 0) {
-            context.out.complain(std::to_string(loaded.unreadable_pages) +
-                                 " pages of bills cannot be read and are not counted");
+            context.out.print_diagnostic(std::to_string(loaded.unreadable_pages) +
+                                         " pages of bills cannot be read and are not counted");
             return exit_code::failed;
         }
         return exit_code::ok;
@@ -105,10 +105,10 @@
     {
         std::map<team_and_version, bill_total> totals;
         json bills = json::array();
-        for (const auto& [request, one] : coordination::fold_bills(loaded.bills)) {
-            if (context.settings.team.empty() || one.team == context.settings.team) {
-                totals[{one.team, one.version}].add(one);
-                bills.push_back(bill_json(one));
+        for (const auto& [request, entry] : coordination::fold_bills(loaded.bills)) {
+            if (context.settings.team.empty() || entry.team == context.settings.team) {
+                totals[{entry.team, entry.version}].add(entry);
+                bills.push_back(bill_json(entry));
             }
         }
         text_table table({"TEAM", "VERSION", "REQUESTS", "PROMPT", "COMPLETION", "SPENT", "COST"});
--- a/control/src/change.cpp
+++ b/control/src/change.cpp
@@ -20,7 +20,7 @@
 using coordination::config_write_done;
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds default_patience{30'000};
+constexpr std::chrono::milliseconds default_wait_timeout{30'000};
 
 std::vector<config_object> objects_after(const config_state& state,
                                          const std::vector<object_change>& changes)
@@ -39,10 +39,10 @@
 {
     const auto before = adapters::check_references(state.objects());
     auto after = adapters::check_references(objects_after(state, changes));
-    const auto was_there = [&before](const configuration_fault& fault) {
+    const auto existed_before = [&before](const configuration_fault& fault) {
         return std::find(before.begin(), before.end(), fault) != before.end();
     };
-    after.erase(std::remove_if(after.begin(), after.end(), was_there), after.end());
+    after.erase(std::remove_if(after.begin(), after.end(), existed_before), after.end());
     return after;
 }
 
@@ -59,9 +59,9 @@
 // One change on its way: written, explained where it was refused, and waited for.
 class change_in_progress {
 public:
-    change_in_progress(command_context& surroundings, const loaded_configuration& loaded,
+    change_in_progress(command_context& current_context, const loaded_configuration& loaded,
                        std::vector<object_change> wanted)
-        : context(surroundings), seen(loaded), changes(std::move(wanted)),
+        : context(current_context), seen(loaded), changes(std::move(wanted)),
           revision(loaded.head.revision)
     {
         this->result["changed"] = json::array();
@@ -93,11 +93,11 @@
             return report_conflict(this->context, edit, done);
         }
         if (done.error == control_error::outcome_unknown) {
-            return this->explain_unknown(edit);
+            return this->report_unknown_outcome(edit);
         }
         if (done.error) {
-            const exit_code end = refuse(this->context, done.error);
-            this->context.out.complain("Nothing was changed.");
+            const exit_code end = report_error(this->context, done.error);
+            this->context.out.print_diagnostic("Nothing was changed.");
             return end;
         }
         this->revision = done.revision;
@@ -106,7 +106,7 @@
             this->text += change_text(change);
             this->result["changed"].push_back(change_json(change));
         }
-        this->check_again();
+        this->check_references_after_write();
         return exit_code::ok;
     }
 
@@ -125,24 +125,24 @@
 
     // Others' changes to other objects may have come in between, and together with this one leave a
     // reference to nothing: each was right when its author looked. It is told, not undone.
-    void check_again()
+    void check_references_after_write()
     {
         if (this->revision == this->seen.head.revision + 1) {
             return;
         }
-        const auto now = this->context.store.load();
-        if (now.error) {
+        const auto current = this->context.store.load();
+        if (current.error) {
             return;
         }
-        for (const auto& fault : adapters::check_references(now.state->objects())) {
-            this->context.out.complain("warning: " + adapters::to_string(fault));
+        for (const auto& fault : adapters::check_references(current.state->objects())) {
+            this->context.out.print_diagnostic("warning: " + adapters::to_string(fault));
         }
     }
 
-    exit_code explain_unknown(const config_edit& edit)
+    exit_code report_unknown_outcome(const config_edit& edit)
     {
-        const exit_code end = refuse(this->context, control_error::outcome_unknown);
-        this->context.out.complain(
+        const exit_code end = report_error(this->context, control_error::outcome_unknown);
+        this->context.out.print_diagnostic(
             "Give the same command again when the service answers: it says that nothing changed "
             "when this change was accepted. In the history it is write " +
             edit.write_id + ".");
@@ -152,33 +152,33 @@
 
     exit_code wait()
     {
-        const auto patience = this->context.settings.timeout.value_or(default_patience);
-        const auto waited = wait_for_fleet(this->context, this->revision, patience);
-        this->result["in_force"] = waited.in_force;
+        const auto timeout = this->context.settings.timeout.value_or(default_wait_timeout);
+        const auto waited = wait_for_fleet(this->context, this->revision, timeout);
+        this->result["in_force"] = waited.applied;
         this->result["routers"] = waited.routers;
         this->result["lagging"] = json::array();
-        if (waited.in_force) {
+        if (waited.applied) {
             this->text += "in force on every live router, of which there are " +
                           std::to_string(waited.routers) + "\n";
             return exit_code::ok;
         }
-        this->context.out.complain("not known to be in force everywhere after " +
-                                   std::to_string(patience.count()) + " ms:");
+        this->context.out.print_diagnostic("not known to be in force everywhere after " +
+                                           std::to_string(timeout.count()) + " ms:");
         if (!waited.problem.empty()) {
-            this->context.out.complain("  the routers cannot be listed: " + waited.problem);
+            this->context.out.print_diagnostic("  the routers cannot be listed: " + waited.problem);
         }
         for (const auto& lagging : waited.lagging) {
-            this->explain_lag(lagging);
+            this->report_lagging_router(lagging);
         }
-        return exit_code::not_everywhere;
+        return exit_code::not_applied_everywhere;
     }
 
-    void explain_lag(const lagging_router& lagging)
+    void report_lagging_router(const lagging_router& lagging)
     {
         const auto& router = lagging.router;
         const std::string address = router.host + ":" + std::to_string(router.operator_port);
-        this->context.out.complain("  router " + router.id + " (" + address + ", " + router.zone +
-                                   "): " + lagging.reason);
+        this->context.out.print_diagnostic("  router " + router.id + " (" + address + ", " +
+                                           router.zone + "): " + lagging.reason);
         this->result["lagging"].push_back({{"incarnation", router.id},
                                            {"address", address},
                                            {"zone", router.zone},
@@ -203,8 +203,8 @@
     return this->before.body.empty() ? "created" : "changed";
 }
 
-std::vector<object_change> changes_to(const config_state& state,
-                                      const std::vector<config_object>& wanted)
+std::vector<object_change> find_changes(const config_state& state,
+                                        const std::vector<config_object>& wanted)
 {
     std::vector<object_change> changes;
     for (const auto& object : wanted) {
@@ -218,23 +218,24 @@
     return changes;
 }
 
-bool may_change(command_context& context)
+bool has_valid_wait_settings(command_context& context)
 {
     if (context.settings.wait && context.settings.operator_key.empty()) {
-        context.out.complain("--wait asks the routers and needs the operator key: found none, "
-                             "allowed is --operator_key_file or PEARHAVENCTL_OPERATOR_KEY");
+        context.out.print_diagnostic(
+            "--wait asks the routers and needs the operator key: found none, "
+            "allowed is --operator_key_file or PEARHAVENCTL_OPERATOR_KEY");
         return false;
     }
     return true;
 }
 
-exit_code make_change(command_context& context, const loaded_configuration& seen,
-                      const std::vector<config_object>& wanted)
+exit_code submit_change(command_context& context, const loaded_configuration& seen,
+                        const std::vector<config_object>& wanted)
 {
-    auto changes = changes_to(*seen.state, wanted);
+    auto changes = find_changes(*seen.state, wanted);
     const auto faults = new_reference_faults(*seen.state, changes);
     for (const auto& fault : faults) {
-        context.out.complain(adapters::to_string(fault));
+        context.out.print_diagnostic(adapters::to_string(fault));
     }
     if (!faults.empty()) {
         return exit_code::usage;
--- a/control/src/change.hpp
+++ b/control/src/change.hpp
@@ -21,17 +21,17 @@
 };
 
 // Those of the wanted objects that differ from what the state holds.
-std::vector<object_change> changes_to(const coordination::config_state& state,
-                                      const std::vector<coordination::config_object>& wanted);
+std::vector<object_change> find_changes(const coordination::config_state& state,
+                                        const std::vector<coordination::config_object>& wanted);
 
 // Whether the command was called in a way that it can be carried out; says why not. Looked at
 // before anything is changed.
-bool may_change(command_context& context);
+bool has_valid_wait_settings(command_context& context);
 
 // Brings the wanted objects into force as one change, all or nothing, and says what came of it. An
 // empty body deletes. With --wait, returns when the change is in force on every live router.
-exit_code make_change(command_context& context, const loaded_configuration& seen,
-                      const std::vector<coordination::config_object>& wanted);
+exit_code submit_change(command_context& context, const loaded_configuration& seen,
+                        const std::vector<coordination::config_object>& wanted);
 
 } // namespace pearhaven::control
 
--- a/control/src/command.cpp
+++ b/control/src/command.cpp
@@ -21,16 +21,16 @@
     return all;
 }
 
-exit_code refuse_usage(const command& called, command_context& context)
+exit_code report_usage(const command& called, command_context& context)
 {
     const command_usage usage = called.usage();
-    context.out.complain("usage: pearhavenctl " + usage.name + " " + usage.arguments);
+    context.out.print_diagnostic("usage: pearhavenctl " + usage.name + " " + usage.arguments);
     return exit_code::usage;
 }
 
-exit_code refuse(command_context& context, std::error_code error)
+exit_code report_error(command_context& context, std::error_code error)
 {
-    context.out.complain("error: " + error.message());
+    context.out.print_diagnostic("error: " + error.message());
     return to_exit_code(error);
 }
 
--- a/control/src/command.hpp
+++ b/control/src/command.hpp
@@ -60,10 +60,10 @@
 std::vector<command_ptr> make_commands();
 
 // Says how the command is called, and ends it.
-exit_code refuse_usage(const command& called, command_context& context);
+exit_code report_usage(const command& called, command_context& context);
 
 // Says why the command could not be carried out, and ends it.
-exit_code refuse(command_context& context, std::error_code error);
+exit_code report_error(command_context& context, std::error_code error);
 
 } // namespace pearhaven::control
 
--- a/control/src/configuration_store.cpp
+++ b/control/src/configuration_store.cpp
@@ -16,8 +16,8 @@
 using coordination::store_call;
 
 constexpr int read_attempts = 4;
-constexpr decision::duration read_pause = std::chrono::milliseconds{250};
-constexpr decision::duration write_tick = std::chrono::milliseconds{10};
+constexpr decision::duration read_retry_delay = std::chrono::milliseconds{250};
+constexpr decision::duration write_poll_interval = std::chrono::milliseconds{10};
 
 bool is_answer(const kv_reply& reply)
 {
@@ -42,7 +42,7 @@
     kv_reply reply;
     for (int attempt = 0; attempt < read_attempts; ++attempt) {
         if (attempt > 0) {
-            this->clock.sleep(read_pause);
+            this->clock.sleep(read_retry_delay);
         }
         reply = adapters::call_and_wait(this->store, request);
         if (is_answer(reply)) {
@@ -71,7 +71,7 @@
         }
         auto loaded = this->load_snapshot(*head);
         if (loaded) {
-            loaded->head_at = reply.entries.front().revision;
+            loaded->head_store_revision = reply.entries.front().revision;
             return *std::move(loaded);
         }
     }
@@ -122,7 +122,7 @@
             }
         }
         if (actions.empty()) {
-            this->clock.sleep(write_tick);
+            this->clock.sleep(write_poll_interval);
             writer.on_tick(this->clock.now());
         }
     }
@@ -137,7 +137,7 @@
     if (reply.outcome != kv_outcome::ok) {
         return watch_outcome::unavailable;
     }
-    return reply.entries.empty() ? watch_outcome::quiet : watch_outcome::changed;
+    return reply.entries.empty() ? watch_outcome::unchanged : watch_outcome::changed;
 }
 
 loaded_members configuration_store::members()
--- a/control/src/configuration_store.hpp
+++ b/control/src/configuration_store.hpp
@@ -22,7 +22,7 @@
     std::error_code error;
     coordination::config_head head;
     coordination::config_state_ptr state;
-    coordination::store_revision head_at = 0; // for `watch`
+    coordination::store_revision head_store_revision = 0; // for `watch`
 };
 
 struct loaded_members {
@@ -50,7 +50,7 @@
 
     // Waits until the head was written after that revision. Nothing when it was not, or when the
     // store could not be asked.
-    enum class watch_outcome { changed, quiet, unavailable };
+    enum class watch_outcome { changed, unchanged, unavailable };
     [[nodiscard]] watch_outcome watch(coordination::store_revision after, decision::duration wait);
 
     [[nodiscard]] loaded_members members();
--- a/control/src/conflict_report.cpp
+++ b/control/src/conflict_report.cpp
@@ -12,7 +12,7 @@
 using nlohmann::json;
 
 // The conflicts come in order of revision within each object.
-std::vector<config_conflict> latest_of_each(const std::vector<config_conflict>& all)
+std::vector<config_conflict> latest_per_object(const std::vector<config_conflict>& all)
 {
     std::vector<config_conflict> latest;
     for (const auto& conflict : all) {
@@ -36,13 +36,14 @@
     return {};
 }
 
-void complain_of(command_context& context, const config_edit& edit, const config_conflict& conflict)
+void print_conflict(command_context& context, const config_edit& edit,
+                    const config_conflict& conflict)
 {
-    context.out.complain("conflict: " + object_text(conflict.kind, conflict.name) +
-                         " was changed by " + conflict.author + " at " +
-                         utc_text(conflict.unix_ms) + ", in revision " +
-                         std::to_string(conflict.revision) + ", after revision " +
-                         std::to_string(edit.seen_revision) + " that this change is based on");
+    context.out.print_diagnostic(
+        "conflict: " + object_text(conflict.kind, conflict.name) + " was changed by " +
+        conflict.author + " at " + utc_text(conflict.unix_ms) + ", in revision " +
+        std::to_string(conflict.revision) + ", after revision " +
+        std::to_string(edit.seen_revision) + " that this change is based on");
 }
 
 json conflict_json(const config_edit& edit, const config_conflict& conflict)
@@ -56,11 +57,13 @@
             {"yours", object_json({conflict.kind, conflict.name, wanted_body(edit, conflict)})}};
 }
 
-void compare(command_context& context, const std::string& theirs, const std::string& yours)
+void print_differences(command_context& context, const std::string& theirs,
+                       const std::string& yours)
 {
     for (const auto& difference : differences(theirs, yours)) {
-        context.out.complain("  " + difference.path + ": theirs " + value_text(difference.before) +
-                             ", yours " + value_text(difference.after));
+        context.out.print_diagnostic("  " + difference.path + ": theirs " +
+                                     value_text(difference.before) + ", yours " +
+                                     value_text(difference.after));
     }
 }
 
@@ -69,21 +72,22 @@
 exit_code report_conflict(command_context& context, const config_edit& edit,
                           const coordination::config_write_done& refused)
 {
-    const auto now = context.store.load();
+    const auto current = context.store.load();
     json conflicts = json::array();
-    for (const auto& conflict : latest_of_each(refused.conflicts)) {
-        complain_of(context, edit, conflict);
+    for (const auto& conflict : latest_per_object(refused.conflicts)) {
+        print_conflict(context, edit, conflict);
         json explained = conflict_json(edit, conflict);
-        if (!now.error) {
-            const config_object* const theirs = now.state->find(conflict.kind, conflict.name);
+        if (!current.error) {
+            const config_object* const theirs = current.state->find(conflict.kind, conflict.name);
             const std::string body = theirs == nullptr ? "" : theirs->body;
             explained["theirs"] = object_json({conflict.kind, conflict.name, body});
-            compare(context, body, wanted_body(edit, conflict));
+            print_differences(context, body, wanted_body(edit, conflict));
         }
         conflicts.push_back(std::move(explained));
     }
-    context.out.complain("Nothing was changed. Look at the objects (pearhavenctl get), and give "
-                         "the command again.");
+    context.out.print_diagnostic(
+        "Nothing was changed. Look at the objects (pearhavenctl get), and give "
+        "the command again.");
     context.out.show("", {{"error", "conflict"}, {"conflicts", std::move(conflicts)}});
     return exit_code::conflict;
 }
--- a/control/src/delete_command.cpp
+++ b/control/src/delete_command.cpp
@@ -19,19 +19,19 @@
     {
         const auto& arguments = context.settings.arguments;
         if (arguments.size() != 2) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
-        if (!is_kind(context, arguments[0]) || !may_change(context)) {
+        if (!check_kind(context, arguments[0]) || !has_valid_wait_settings(context)) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         if (find_object(context, *seen.state, arguments[0], arguments[1]) == nullptr) {
             return exit_code::failed;
         }
-        return make_change(context, seen, {{arguments[0], arguments[1], ""}});
+        return submit_change(context, seen, {{arguments[0], arguments[1], ""}});
     }
 };
 
--- a/control/src/diff_command.cpp
+++ b/control/src/diff_command.cpp
@@ -44,7 +44,7 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (context.settings.files.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto wanted = read_object_files(context);
         if (!wanted) {
@@ -52,11 +52,11 @@
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         std::string text;
         json changes = json::array();
-        for (const auto& change : changes_to(*seen.state, *wanted)) {
+        for (const auto& change : find_changes(*seen.state, *wanted)) {
             text += change_text(change);
             changes.push_back(change_json(change));
         }
--- a/control/src/errors.cpp
+++ b/control/src/errors.cpp
@@ -74,7 +74,7 @@
     if (error == control_error::conflict) {
         return exit_code::conflict;
     }
-    return error == control_error::outcome_unknown ? exit_code::unknown : exit_code::failed;
+    return error == control_error::outcome_unknown ? exit_code::outcome_unknown : exit_code::failed;
 }
 
 } // namespace pearhaven::control
--- a/control/src/errors.hpp
+++ b/control/src/errors.hpp
@@ -8,11 +8,11 @@
 // Status that the process ends with. Part of the operators' interface: scripts rely on it.
 enum class exit_code {
     ok = 0,
-    failed = 1,         // refused, or could not be carried out; nothing was changed
-    usage = 2,          // wrong command line, or a configuration with faults
-    conflict = 3,       // another operator changed the same object first
-    not_everywhere = 4, // accepted, but not in force on every router in time
-    unknown = 5,        // may or may not have been accepted
+    failed = 1,                 // refused, or could not be carried out; nothing was changed
+    usage = 2,                  // wrong command line, or a configuration with faults
+    conflict = 3,               // another operator changed the same object first
+    not_applied_everywhere = 4, // accepted, but not in force on every router in time
+    outcome_unknown = 5,        // may or may not have been accepted
 };
 
 // Why a command could not be carried out.
--- a/control/src/fleet_wait.cpp
+++ b/control/src/fleet_wait.cpp
@@ -9,30 +9,30 @@
 
 using coordination::member;
 
-constexpr decision::duration round_pause = std::chrono::milliseconds{200};
+constexpr decision::duration poll_interval = std::chrono::milliseconds{200};
 
 // Routers that have the revision already and are asked all the same whom they take for live.
-constexpr std::size_t most_witnesses = 2;
+constexpr std::size_t max_membership_sources = 2;
 
 class fleet_wait {
 public:
-    fleet_wait(command_context& surroundings, std::uint64_t wanted)
-        : context(surroundings), revision(wanted)
+    fleet_wait(command_context& current_context, std::uint64_t wanted)
+        : context(current_context), revision(wanted)
     {}
 
-    fleet_wait_result run(decision::duration patience)
+    fleet_wait_result run(decision::duration timeout)
     {
-        const decision::instant deadline = this->context.clock.now() + patience;
-        fleet_wait_result result = this->look();
-        while (!result.in_force && this->context.clock.now() < deadline) {
-            this->context.clock.sleep(round_pause);
-            result = this->look();
+        const decision::instant deadline = this->context.clock.now() + timeout;
+        fleet_wait_result result = this->poll();
+        while (!result.applied && this->context.clock.now() < deadline) {
+            this->context.clock.sleep(poll_interval);
+            result = this->poll();
         }
         return result;
     }
 
 private:
-    fleet_wait_result look()
+    fleet_wait_result poll()
     {
         fleet_wait_result result;
         const auto listed = this->context.store.members();
@@ -44,35 +44,37 @@
             result.problem = "no router has a record in the key-value service";
             return result;
         }
-        const auto statuses = this->ask(listed.members, result);
+        const auto statuses = this->query_status(listed.members, result);
         const std::vector<member> unlisted = unlisted_members(listed.members, statuses);
-        this->ask(unlisted, result);
+        this->query_status(unlisted, result);
         result.routers = listed.members.size() + unlisted.size();
-        result.in_force = result.lagging.empty();
+        result.applied = result.lagging.empty();
         return result;
     }
 
     // Asks those that are not known to have the revision, and a few more for their view of the
     // fleet.
-    std::vector<router_status> ask(const std::vector<member>& routers, fleet_wait_result& result)
+    std::vector<router_status> query_status(const std::vector<member>& routers,
+                                            fleet_wait_result& result)
     {
-        std::vector<member> asked;
-        std::size_t witnesses = 0;
+        std::vector<member> queried;
+        std::size_t membership_sources = 0;
         for (const auto& router : routers) {
-            if (this->seen.count(router.id) == 0 || ++witnesses <= most_witnesses) {
-                asked.push_back(router);
+            if (this->confirmed.count(router.id) == 0 ||
+                ++membership_sources <= max_membership_sources) {
+                queried.push_back(router);
             }
         }
-        auto statuses = this->context.routers.ask(asked);
-        for (std::size_t index = 0; index < asked.size(); ++index) {
-            this->judge(asked[index], statuses[index], result);
+        auto statuses = this->context.routers.query_status(queried);
+        for (std::size_t index = 0; index < queried.size(); ++index) {
+            this->record_status(queried[index], statuses[index], result);
         }
         return statuses;
     }
 
-    void judge(const member& router, const router_status& status, fleet_wait_result& result)
+    void record_status(const member& router, const router_status& status, fleet_wait_result& result)
     {
-        if (this->seen.count(router.id) > 0) {
+        if (this->confirmed.count(router.id) > 0) {
             return;
         }
         if (!status.problem.empty()) {
@@ -81,13 +83,13 @@
             result.lagging.push_back(
                 {router, "at revision " + std::to_string(status.revision) + " still"});
         } else {
-            this->seen.insert(router.id);
+            this->confirmed.insert(router.id);
         }
     }
 
     command_context& context;
     std::uint64_t revision;
-    std::set<coordination::incarnation_id> seen;
+    std::set<coordination::incarnation_id> confirmed;
 };
 
 } // namespace
@@ -113,9 +115,9 @@
 }
 
 fleet_wait_result wait_for_fleet(command_context& context, std::uint64_t revision,
-                                 decision::duration patience)
+                                 decision::duration timeout)
 {
-    return fleet_wait(context, revision).run(patience);
+    return fleet_wait(context, revision).run(timeout);
 }
 
 } // namespace pearhaven::control
--- a/control/src/fleet_wait.hpp
+++ b/control/src/fleet_wait.hpp
@@ -20,7 +20,7 @@
 };
 
 struct fleet_wait_result {
-    bool in_force = false;
+    bool applied = false;
     std::size_t routers = 0; // live ones, when the wait ended
     std::vector<lagging_router> lagging;
     std::string problem; // why the routers could not be listed
@@ -37,7 +37,7 @@
 // that once had the revision keeps it, since none goes back. Without a single record there is
 // nothing to go by, and the wait goes on.
 fleet_wait_result wait_for_fleet(command_context& context, std::uint64_t revision,
-                                 decision::duration patience);
+                                 decision::duration timeout);
 
 } // namespace pearhaven::control
 
--- a/control/src/get_command.cpp
+++ b/control/src/get_command.cpp
@@ -62,14 +62,14 @@
     {
         const auto& arguments = context.settings.arguments;
         if (arguments.size() > 2) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
-        if (!arguments.empty() && !is_kind(context, arguments[0])) {
+        if (!arguments.empty() && !check_kind(context, arguments[0])) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         if (arguments.size() < 2) {
             show_list(context, seen, arguments.empty() ? "" : arguments[0]);
--- a/control/src/help_command.cpp
+++ b/control/src/help_command.cpp
@@ -74,7 +74,7 @@
                 return exit_code::ok;
             }
         }
-        return refuse_usage(*this, context);
+        return report_usage(*this, context);
     }
 };
 
--- a/control/src/history_command.cpp
+++ b/control/src/history_command.cpp
@@ -18,11 +18,11 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (!context.settings.arguments.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         text_table table(recorded_change_heading());
         auto changes = nlohmann::json::array();
--- a/control/src/key_digest_command.cpp
+++ b/control/src/key_digest_command.cpp
@@ -25,11 +25,12 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (!context.settings.arguments.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto key = first_line(context.input.read("-").value_or(""));
         if (key.empty()) {
-            context.out.complain("standard input: found nothing, allowed is a key on one line");
+            context.out.print_diagnostic(
+                "standard input: found nothing, allowed is a key on one line");
             return exit_code::usage;
         }
         const auto digest = adapters::sha256_hex(key);
--- a/control/src/label_command.cpp
+++ b/control/src/label_command.cpp
@@ -19,13 +19,14 @@
     for (std::size_t index = 2; index < arguments.size(); ++index) {
         const std::string& argument = arguments[index];
         const auto equals = argument.find('=');
-        bool fresh = false;
+        bool inserted = false;
         if (equals != std::string::npos && equals > 0) {
-            fresh = edits.emplace(argument.substr(0, equals), argument.substr(equals + 1)).second;
+            inserted =
+                edits.emplace(argument.substr(0, equals), argument.substr(equals + 1)).second;
         } else if (argument.size() > 1 && argument.back() == '-') {
-            fresh = edits.emplace(argument.substr(0, argument.size() - 1), std::nullopt).second;
+            inserted = edits.emplace(argument.substr(0, argument.size() - 1), std::nullopt).second;
         }
-        if (!fresh) {
+        if (!inserted) {
             return std::nullopt;
         }
     }
@@ -60,18 +61,18 @@
     {
         const auto& arguments = context.settings.arguments;
         if (arguments.size() < 3) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto edits = read_edits(arguments);
         if (!edits) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
-        if (!is_kind(context, arguments[0]) || !may_change(context)) {
+        if (!check_kind(context, arguments[0]) || !has_valid_wait_settings(context)) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         const auto* const found = find_object(context, *seen.state, arguments[0], arguments[1]);
         if (found == nullptr) {
@@ -79,7 +80,7 @@
         }
         const auto edited =
             edit_object(context, *found, [&edits](json& body) { edit_labels(body, *edits); });
-        return edited ? make_change(context, seen, {*edited}) : exit_code::usage;
+        return edited ? submit_change(context, seen, {*edited}) : exit_code::usage;
     }
 };
 
--- a/control/src/object_files.cpp
+++ b/control/src/object_files.cpp
@@ -42,8 +42,8 @@
     void add(config_object object, const object_place& place)
     {
         const std::string key = object_text(object.kind, object.name);
-        const auto [first, fresh] = this->places.emplace(key, place);
-        if (!fresh && first->second.file != place.file) {
+        const auto [first, inserted] = this->places.emplace(key, place);
+        if (!inserted && first->second.file != place.file) {
             this->faults.push_back({place.file, place.line, "name", key + " a second time",
                                     "each object once (this one is also at " + first->second.file +
                                         ":" + std::to_string(first->second.line) + ")"});
@@ -76,7 +76,7 @@
         }
     }
     for (const auto& fault : reader.faults) {
-        context.out.complain(adapters::to_string(fault));
+        context.out.print_diagnostic(adapters::to_string(fault));
     }
     if (!reader.faults.empty()) {
         return std::nullopt;
--- a/control/src/object_lookup.cpp
+++ b/control/src/object_lookup.cpp
@@ -10,12 +10,12 @@
 using coordination::config_object;
 using nlohmann::json;
 
-bool is_kind(command_context& context, const std::string& kind)
+bool check_kind(command_context& context, const std::string& kind)
 {
     // An empty body has no faults, and the name is one that every kind takes.
     const auto faults = adapters::check_object({kind, "default", ""});
     for (const auto& fault : faults) {
-        context.out.complain("KIND: found \"" + kind + "\", allowed " + fault.allowed);
+        context.out.print_diagnostic("KIND: found \"" + kind + "\", allowed " + fault.allowed);
     }
     return faults.empty();
 }
@@ -25,8 +25,8 @@
 {
     const config_object* const found = state.find(kind, name);
     if (found == nullptr) {
-        context.out.complain("there is no " + object_text(kind, name) + " at revision " +
-                             std::to_string(state.revision()));
+        context.out.print_diagnostic("there is no " + object_text(kind, name) + " at revision " +
+                                     std::to_string(state.revision()));
     }
     return found;
 }
@@ -36,15 +36,15 @@
 {
     json body = adapters::parse_shallow_json(object.body).value;
     if (!body.is_object()) {
-        context.out.complain(object_text(object.kind, object.name) + ": the stored body " +
-                             "cannot be read; apply the object from a file");
+        context.out.print_diagnostic(object_text(object.kind, object.name) + ": the stored body " +
+                                     "cannot be read; apply the object from a file");
         return std::nullopt;
     }
     edit(body);
     config_object edited{object.kind, object.name, body.dump()};
     const auto faults = adapters::check_object(edited);
     for (const auto& fault : faults) {
-        context.out.complain(adapters::to_string(fault));
+        context.out.print_diagnostic(adapters::to_string(fault));
     }
     return faults.empty() ? std::optional(edited) : std::nullopt;
 }
--- a/control/src/object_lookup.hpp
+++ b/control/src/object_lookup.hpp
@@ -14,7 +14,7 @@
 namespace pearhaven::control {
 
 // False, and said with the kinds that there are, when there is no such kind.
-bool is_kind(command_context& context, const std::string& kind);
+bool check_kind(command_context& context, const std::string& kind);
 
 // Null, and said, when there is no such object.
 const coordination::config_object* find_object(command_context& context,
--- a/control/src/output.cpp
+++ b/control/src/output.cpp
@@ -48,8 +48,8 @@
     return text;
 }
 
-output::output(output_format chosen, std::ostream& result_stream, std::ostream& complaint_stream)
-    : format(chosen), results(result_stream), complaints(complaint_stream)
+output::output(output_format chosen, std::ostream& result_stream, std::ostream& diagnostic_stream)
+    : format(chosen), results(result_stream), diagnostics(diagnostic_stream)
 {}
 
 void output::show(const std::string& text, const nlohmann::json& value)
@@ -62,10 +62,10 @@
     this->results.flush();
 }
 
-void output::complain(const std::string& line)
+void output::print_diagnostic(const std::string& line)
 {
-    this->complaints << line << "\n";
-    this->complaints.flush();
+    this->diagnostics << line << "\n";
+    this->diagnostics.flush();
 }
 
 } // namespace pearhaven::control
--- a/control/src/output.hpp
+++ b/control/src/output.hpp
@@ -27,16 +27,16 @@
 // error, always as text). Each result is given in both forms; the operator chooses one.
 class output {
 public:
-    output(output_format chosen, std::ostream& results, std::ostream& complaints);
+    output(output_format chosen, std::ostream& results, std::ostream& diagnostics);
 
     // One JSON value a line, so that results which come one by one can be read as they come.
     void show(const std::string& text, const nlohmann::json& value);
-    void complain(const std::string& line);
+    void print_diagnostic(const std::string& line);
 
 private:
     output_format format;
     std::ostream& results;
-    std::ostream& complaints;
+    std::ostream& diagnostics;
 };
 
 } // namespace pearhaven::control
--- a/control/src/program.cpp
+++ b/control/src/program.cpp
@@ -44,7 +44,7 @@
     output out;
 };
 
-exit_code refuse_settings(const read_settings_result& read)
+exit_code report_faults(const read_settings_result& read)
 {
     for (const auto& fault : read.faults) {
         std::cerr << fault << "\n";
@@ -75,7 +75,7 @@
         const exit_code shown = run_command(read, "help");
         return read.help_wanted ? shown : exit_code::usage;
     }
-    return read.faults.empty() ? run_command(read, read.command) : refuse_settings(read);
+    return read.faults.empty() ? run_command(read, read.command) : report_faults(read);
 }
 
 } // namespace
--- a/control/src/rollout_command.cpp
+++ b/control/src/rollout_command.cpp
@@ -33,33 +33,33 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         const auto& arguments = context.settings.arguments;
-        const bool shows = arguments.size() == 1;
-        if (!shows && !is_switch(arguments)) {
-            return refuse_usage(*this, context);
+        const bool show_only = arguments.size() == 1;
+        if (!show_only && !is_pause_or_resume(arguments)) {
+            return report_usage(*this, context);
         }
-        if (!shows && !may_change(context)) {
+        if (!show_only && !has_valid_wait_settings(context)) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         const auto* const found = find_object(context, *seen.state, "rollout", arguments[0]);
         if (found == nullptr) {
             return exit_code::failed;
         }
-        if (shows) {
+        if (show_only) {
             show_rollout(context, seen, *found);
             return exit_code::ok;
         }
         const bool paused = arguments[1] == "pause";
         const auto edited = edit_object(
             context, *found, [paused](nlohmann::json& body) { body["spec"]["paused"] = paused; });
-        return edited ? make_change(context, seen, {*edited}) : exit_code::failed;
+        return edited ? submit_change(context, seen, {*edited}) : exit_code::failed;
     }
 
 private:
-    static bool is_switch(const std::vector<std::string>& arguments)
+    static bool is_pause_or_resume(const std::vector<std::string>& arguments)
     {
         return arguments.size() == 2 && (arguments[1] == "pause" || arguments[1] == "resume");
     }
--- a/control/src/router_inspector.cpp
+++ b/control/src/router_inspector.cpp
@@ -18,12 +18,12 @@
 
 constexpr int status_ok = 200;
 constexpr int status_unauthorized = 401;
-constexpr std::size_t largest_status = std::size_t{4} << 20U;
+constexpr std::size_t max_status_bytes = std::size_t{4} << 20U;
 
 // Asking hundreds of routers at once would need as many connections at once.
-constexpr std::size_t asked_at_once = 64;
+constexpr std::size_t max_concurrent_queries = 64;
 
-router_status problem(std::string text)
+router_status status_with_problem(std::string text)
 {
     router_status status;
     status.problem = std::move(text);
@@ -81,31 +81,31 @@
 }
 
 // Collects answers that come on the HTTP client's thread.
-class gathered_answers {
+class status_collector {
 public:
-    gathered_answers(std::vector<router_status>& all, std::size_t expected)
-        : statuses(all), missing(expected)
+    status_collector(std::vector<router_status>& all, std::size_t expected)
+        : statuses(all), pending(expected)
     {}
 
     void put(std::size_t index, router_status status)
     {
         const std::lock_guard guard(this->mutex);
         this->statuses[index] = std::move(status);
-        --this->missing;
-        this->arrived.notify_one();
+        --this->pending;
+        this->status_received.notify_one();
     }
 
     void wait()
     {
         std::unique_lock guard(this->mutex);
-        this->arrived.wait(guard, [this] { return this->missing == 0; });
+        this->status_received.wait(guard, [this] { return this->pending == 0; });
     }
 
 private:
     std::vector<router_status>& statuses;
-    std::size_t missing;
+    std::size_t pending;
     std::mutex mutex;
-    std::condition_variable arrived;
+    std::condition_variable status_received;
 };
 
 } // namespace
@@ -114,21 +114,21 @@
                           const coordination::incarnation_id& expected)
 {
     if (answer.result.error) {
-        return problem("no answer: " + answer.result.error.message());
+        return status_with_problem("no answer: " + answer.result.error.message());
     }
     if (answer.result.status == status_unauthorized) {
-        return problem("refused the operator key");
+        return status_with_problem("refused the operator key");
     }
     if (answer.result.status != status_ok) {
-        return problem("answered with status " + std::to_string(answer.result.status));
+        return status_with_problem("answered with status " + std::to_string(answer.result.status));
     }
     const json page = adapters::parse_shallow_json(answer.body).value;
     if (!is_status_page(page)) {
-        return problem("answered with something that is no status");
+        return status_with_problem("answered with something that is no status");
     }
     if (page["incarnation"] != expected) {
-        return problem("its address is now that of router " +
-                       page["incarnation"].get<std::string>());
+        return status_with_problem("its address is now that of router " +
+                                   page["incarnation"].get<std::string>());
     }
     router_status status;
     status.revision = page["revision"];
@@ -143,23 +143,23 @@
 }
 
 http_router_inspector::http_router_inspector(adapters::http_client& http, std::string key,
-                                             std::chrono::milliseconds patience)
-    : client(http), operator_key(std::move(key)), timeout(patience)
+                                             std::chrono::milliseconds request_timeout)
+    : client(http), operator_key(std::move(key)), timeout(request_timeout)
 {}
 
-std::vector<router_status> http_router_inspector::ask(const std::vector<member>& routers)
+std::vector<router_status> http_router_inspector::query_status(const std::vector<member>& routers)
 {
     std::vector<router_status> statuses(routers.size());
-    for (std::size_t first = 0; first < routers.size(); first += asked_at_once) {
-        const std::size_t end = std::min(first + asked_at_once, routers.size());
-        gathered_answers answers(statuses, end - first);
+    for (std::size_t first = 0; first < routers.size(); first += max_concurrent_queries) {
+        const std::size_t end = std::min(first + max_concurrent_queries, routers.size());
+        status_collector answers(statuses, end - first);
         for (std::size_t index = first; index < end; ++index) {
-            const auto take = [&answers, index,
-                               id = routers[index].id](const adapters::http_answer& answer) {
+            const auto on_answer = [&answers, index,
+                                    id = routers[index].id](const adapters::http_answer& answer) {
                 answers.put(index, read_status(answer, id));
             };
-            adapters::fetch(this->client, this->status_request(routers[index]), largest_status,
-                            take);
+            adapters::fetch(this->client, this->status_request(routers[index]), max_status_bytes,
+                            on_answer);
         }
         answers.wait();
     }
--- a/control/src/router_inspector.hpp
+++ b/control/src/router_inspector.hpp
@@ -31,7 +31,8 @@
     virtual ~router_inspector() = default;
 
     // Asks all of them; the answers come in the same order. Takes bounded time.
-    virtual std::vector<router_status> ask(const std::vector<coordination::member>& routers) = 0;
+    virtual std::vector<router_status>
+    query_status(const std::vector<coordination::member>& routers) = 0;
 };
 
 // Reads the answer of `GET /v1/status` that was expected of the router `expected`. An answer of
@@ -46,7 +47,8 @@
     http_router_inspector(adapters::http_client& client, std::string operator_key,
                           std::chrono::milliseconds timeout);
 
-    std::vector<router_status> ask(const std::vector<coordination::member>& routers) override;
+    std::vector<router_status>
+    query_status(const std::vector<coordination::member>& routers) override;
 
 private:
     [[nodiscard]] adapters::http_request status_request(const coordination::member& router) const;
--- a/control/src/settings.cpp
+++ b/control/src/settings.cpp
@@ -25,22 +25,22 @@
 
 namespace {
 
-constexpr std::uint32_t shortest_timeout_ms = 10;
-constexpr std::uint32_t longest_timeout_ms = 600'000;
-constexpr double longest_wait_seconds = 86'400;
+constexpr std::uint32_t min_timeout_ms = 10;
+constexpr std::uint32_t max_timeout_ms = 600'000;
+constexpr double max_wait_seconds = 86'400;
 constexpr double ms_per_second = 1000;
 
 constexpr const char* environment_prefix = "PEARHAVENCTL";
-constexpr const char* key_variable = "PEARHAVENCTL_OPERATOR_KEY";
+constexpr const char* operator_key_variable = "PEARHAVENCTL_OPERATOR_KEY";
 
 // `-f` may be given many times, which gflags does not know.
 struct split_arguments {
     std::vector<char*> others;
     std::vector<std::string> files;
-    bool file_missing = false;
+    bool file_name_missing = false;
 };
 
-split_arguments take_files(int argc, char** argv)
+split_arguments extract_files(int argc, char** argv)
 {
     split_arguments split;
     for (int index = 0; index < argc; ++index) {
@@ -50,7 +50,7 @@
         } else if (index + 1 < argc) {
             split.files.emplace_back(argv[++index]);
         } else {
-            split.file_missing = true;
+            split.file_name_missing = true;
         }
     }
     return split;
@@ -84,8 +84,9 @@
         settings.format = this->read_format();
         settings.author = FLAGS_author.empty() ? environment("USER") : FLAGS_author;
         settings.operator_key = this->read_operator_key();
-        settings.store_timeout = this->read_patience("store_timeout_ms", FLAGS_store_timeout_ms);
-        settings.router_timeout = this->read_patience("router_timeout_ms", FLAGS_router_timeout_ms);
+        settings.store_timeout = this->read_timeout_ms("store_timeout_ms", FLAGS_store_timeout_ms);
+        settings.router_timeout =
+            this->read_timeout_ms("router_timeout_ms", FLAGS_router_timeout_ms);
         settings.wait = FLAGS_wait;
         settings.timeout = this->read_timeout();
         settings.base = this->read_base();
@@ -116,7 +117,7 @@
     std::string read_operator_key()
     {
         if (FLAGS_operator_key_file.empty()) {
-            return environment(key_variable);
+            return environment(operator_key_variable);
         }
         std::ifstream file(FLAGS_operator_key_file);
         std::string key = first_line(file);
@@ -127,12 +128,12 @@
         return key;
     }
 
-    std::chrono::milliseconds read_patience(const std::string& flag, std::uint32_t value)
+    std::chrono::milliseconds read_timeout_ms(const std::string& flag, std::uint32_t value)
     {
-        if (value < shortest_timeout_ms || value > longest_timeout_ms) {
+        if (value < min_timeout_ms || value > max_timeout_ms) {
             this->add(flag, std::to_string(value),
-                      "a number from " + std::to_string(shortest_timeout_ms) + " to " +
-                          std::to_string(longest_timeout_ms));
+                      "a number from " + std::to_string(min_timeout_ms) + " to " +
+                          std::to_string(max_timeout_ms));
         }
         return std::chrono::milliseconds{value};
     }
@@ -142,7 +143,7 @@
         if (gflags::GetCommandLineFlagInfoOrDie("timeout").is_default) {
             return std::nullopt;
         }
-        if (!(FLAGS_timeout >= 0 && FLAGS_timeout <= longest_wait_seconds)) {
+        if (!(FLAGS_timeout >= 0 && FLAGS_timeout <= max_wait_seconds)) {
             this->add("timeout", std::to_string(FLAGS_timeout), "seconds from 0 to 86400");
             return std::nullopt;
         }
@@ -175,14 +176,14 @@
 
 read_settings_result read_settings(int argc, char** argv)
 {
-    split_arguments split = take_files(argc, argv);
+    split_arguments split = extract_files(argc, argv);
     auto flags = adapters::read_flags(static_cast<int>(split.others.size()), split.others.data(),
                                       environment_prefix);
     read_settings_result result;
     result.faults = std::move(flags.faults);
     result.help_wanted = flags.help_wanted;
     result.settings.files = std::move(split.files);
-    if (split.file_missing) {
+    if (split.file_name_missing) {
         result.faults.emplace_back("-f: found nothing, allowed is the name of a file, or -");
     }
     if (!flags.positional.empty()) {
--- a/control/src/status_command.cpp
+++ b/control/src/status_command.cpp
@@ -92,17 +92,18 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (!context.settings.arguments.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         if (context.settings.operator_key.empty()) {
-            context.out.complain("the routers answer only to the operator key: found none, allowed "
-                                 "is --operator_key_file or PEARHAVENCTL_OPERATOR_KEY");
+            context.out.print_diagnostic(
+                "the routers answer only to the operator key: found none, allowed "
+                "is --operator_key_file or PEARHAVENCTL_OPERATOR_KEY");
             return exit_code::usage;
         }
         const auto seen = context.store.load();
         const auto listed = context.store.members();
         if (seen.error || listed.error) {
-            return refuse(context, seen.error ? seen.error : listed.error);
+            return report_error(context, seen.error ? seen.error : listed.error);
         }
         return show(context, seen.head.revision, listed.members);
     }
@@ -112,10 +113,10 @@
                           const std::vector<member>& listed)
     {
         status_report report;
-        const auto statuses = context.routers.ask(listed);
+        const auto statuses = context.routers.query_status(listed);
         report.add(listed, statuses, true);
         const auto unlisted = unlisted_members(listed, statuses);
-        report.add(unlisted, context.routers.ask(unlisted), false);
+        report.add(unlisted, context.routers.query_status(unlisted), false);
         context.out.show("revision " + std::to_string(revision) + "\n" + report.table.text(),
                          {{"revision", revision}, {"routers", report.list}});
         return report.all_answered ? exit_code::ok : exit_code::failed;
--- a/control/src/version_command.cpp
+++ b/control/src/version_command.cpp
@@ -19,14 +19,14 @@
     {
         const auto& arguments = context.settings.arguments;
         if (arguments.size() != 2 || arguments[0] != "withdraw") {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
-        if (!may_change(context)) {
+        if (!has_valid_wait_settings(context)) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         const auto* const found = find_object(context, *seen.state, "version", arguments[1]);
         if (found == nullptr) {
@@ -34,7 +34,7 @@
         }
         const auto edited = edit_object(
             context, *found, [](nlohmann::json& body) { body["spec"]["withdrawn"] = true; });
-        return edited ? make_change(context, seen, {*edited}) : exit_code::failed;
+        return edited ? submit_change(context, seen, {*edited}) : exit_code::failed;
     }
 };
 
--- a/control/src/watch_command.cpp
+++ b/control/src/watch_command.cpp
@@ -9,88 +9,88 @@
 
 using coordination::config_change;
 
-constexpr decision::duration longest_watch = std::chrono::seconds{10};
-constexpr decision::duration outage_pause = std::chrono::seconds{1};
+constexpr decision::duration max_watch_duration = std::chrono::seconds{10};
+constexpr decision::duration outage_retry_delay = std::chrono::seconds{1};
 
 // Follows the head and shows each change once, in order.
 class change_follower {
 public:
-    explicit change_follower(command_context& surroundings) : context(surroundings) {}
+    explicit change_follower(command_context& current_context) : context(current_context) {}
 
     exit_code run()
     {
         const auto start = this->context.store.load();
         if (start.error) {
-            return refuse(this->context, start.error);
+            return report_error(this->context, start.error);
         }
-        this->shown = this->context.settings.base.value_or(start.head.revision);
+        this->last_shown_revision = this->context.settings.base.value_or(start.head.revision);
         this->show_changes(start);
         while (const auto wait = this->time_left()) {
-            this->follow(*wait);
+            this->wait_for_change(*wait);
         }
         return exit_code::ok;
     }
 
 private:
-    void follow(decision::duration wait)
+    void wait_for_change(decision::duration wait)
     {
-        const auto outcome = this->context.store.watch(this->head_at, wait);
-        if (outcome == configuration_store::watch_outcome::quiet) {
-            this->note_reachable(true);
+        const auto outcome = this->context.store.watch(this->head_store_revision, wait);
+        if (outcome == configuration_store::watch_outcome::unchanged) {
+            this->report_reachability(true);
             return;
         }
         if (outcome == configuration_store::watch_outcome::changed) {
-            const auto now = this->context.store.load();
-            if (!now.error) {
-                this->note_reachable(true);
-                this->show_changes(now);
+            const auto current = this->context.store.load();
+            if (!current.error) {
+                this->report_reachability(true);
+                this->show_changes(current);
                 return;
             }
         }
-        this->note_reachable(false);
-        this->context.clock.sleep(std::min(wait, outage_pause));
+        this->report_reachability(false);
+        this->context.clock.sleep(std::min(wait, outage_retry_delay));
     }
 
     // Nothing when the time is up.
     [[nodiscard]] std::optional<decision::duration> time_left() const
     {
         if (!this->context.settings.timeout) {
-            return longest_watch;
+            return max_watch_duration;
         }
-        const auto end = this->begin + *this->context.settings.timeout;
+        const auto end = this->start_time + *this->context.settings.timeout;
         const auto now = this->context.clock.now();
         if (now >= end) {
             return std::nullopt;
         }
-        return std::min(longest_watch, end - now);
+        return std::min(max_watch_duration, end - now);
     }
 
     // Said once each way, not at each try.
-    void note_reachable(bool now_reachable)
+    void report_reachability(bool now_reachable)
     {
         if (now_reachable != this->reachable) {
-            this->context.out.complain(
+            this->context.out.print_diagnostic(
                 now_reachable ? "the key-value service answers again"
                               : "the key-value service cannot be reached; going on trying");
         }
         this->reachable = now_reachable;
     }
 
-    void show_changes(const loaded_configuration& now)
+    void show_changes(const loaded_configuration& current)
     {
-        this->head_at = now.head_at;
-        const auto& changes = now.head.changes;
-        if (!changes.empty() && changes.front().revision > this->shown + 1) {
-            this->context.out.complain("changes before revision " +
-                                       std::to_string(changes.front().revision) +
-                                       " are no longer recorded");
+        this->head_store_revision = current.head_store_revision;
+        const auto& changes = current.head.changes;
+        if (!changes.empty() && changes.front().revision > this->last_shown_revision + 1) {
+            this->context.out.print_diagnostic("changes before revision " +
+                                               std::to_string(changes.front().revision) +
+                                               " are no longer recorded");
         }
         for (const auto& change : changes) {
-            if (change.revision > this->shown) {
+            if (change.revision > this->last_shown_revision) {
                 this->show(change);
             }
         }
-        this->shown = std::max(this->shown, now.head.revision);
+        this->last_shown_revision = std::max(this->last_shown_revision, current.head.revision);
     }
 
     void show(const config_change& change)
@@ -103,9 +103,9 @@
     }
 
     command_context& context;
-    decision::instant begin = context.clock.now();
-    std::uint64_t shown = 0;
-    coordination::store_revision head_at = 0;
+    decision::instant start_time = context.clock.now();
+    std::uint64_t last_shown_revision = 0;
+    coordination::store_revision head_store_revision = 0;
     bool reachable = true;
 };
 
@@ -122,7 +122,7 @@
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (!context.settings.arguments.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         return change_follower(context).run();
     }
--- a/control/test/commands_test.cpp
+++ b/control/test/commands_test.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-#define CHECK_ENDS(expected, actual) CHECK_EQUAL(code(expected), code(actual))
+#define CHECK_EXIT_CODE(expected, actual) CHECK_EQUAL(code(expected), code(actual))
 #define CHECK_CONTAINS(part, text) CHECK_TEXT(contains(text, part), (text).c_str())
 
 TEST_GROUP(commands_test)
@@ -46,20 +46,20 @@
     fake_operator efua{store, "efua"};
 };
 
-TEST(commands_test, apply_brings_the_objects_of_all_files_into_force_as_one_change)
+TEST(commands_test, apply_writes_the_objects_of_all_files_as_one_change)
 {
     ama.input.files = {{"one", team_a}, {"two", team_b}};
     ama.settings.files = {"one", "two"};
-    CHECK_ENDS(exit_code::ok, ama.run({"apply"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"apply"}));
     CHECK_EQUAL(std::string("accepted as revision 1:\n  team/a created\n  team/b created\n"),
                 ama.results());
     CHECK_EQUAL(1, store.swaps);
 }
 
-TEST(commands_test, apply_leaves_out_what_is_unchanged)
+TEST(commands_test, apply_omits_unchanged_objects)
 {
     ama.apply(team_a);
-    CHECK_ENDS(exit_code::ok, ama.apply(team_a));
+    CHECK_EXIT_CODE(exit_code::ok, ama.apply(team_a));
     CHECK_EQUAL(std::string("nothing changed: revision 1 holds all of it already\n"),
                 ama.results());
     ama.apply(team_a + "---\n" + team_b);
@@ -67,15 +67,15 @@
     CHECK_EQUAL(2, store.swaps);
 }
 
-TEST(commands_test, faults_in_any_file_keep_all_of_them_out)
+TEST(commands_test, a_fault_in_any_file_rejects_all_files)
 {
     ama.input.files = {{"one", team_a}, {"two", "kind: team\nname: b\nspec: {weight: 0}\n"}};
     ama.settings.files = {"one", "two", "three"};
-    CHECK_ENDS(exit_code::usage, ama.run({"apply"}));
+    CHECK_EXIT_CODE(exit_code::usage, ama.run({"apply"}));
     CHECK_EQUAL(
         std::string("two:3: spec.weight: found 0, allowed a number above 0, at most 1000000\n"
                     "three: found no file that can be read, allowed a YAML file\n"),
-        ama.complaints());
+        ama.diagnostics());
     CHECK_EQUAL(0, store.swaps);
 }
 
@@ -83,143 +83,143 @@
 {
     ama.input.files = {{"one", team_a}, {"two", "---\n" + team_a_heavy}};
     ama.settings.files = {"one", "two"};
-    CHECK_ENDS(exit_code::usage, ama.run({"apply"}));
+    CHECK_EXIT_CODE(exit_code::usage, ama.run({"apply"}));
     CHECK_EQUAL(std::string("two:2: name: found team/a a second time, allowed each object once "
                             "(this one is also at one:1)\n"),
-                ama.complaints());
+                ama.diagnostics());
 }
 
-TEST(commands_test, a_change_that_would_leave_a_reference_to_nothing_is_refused)
+TEST(commands_test, a_change_that_leaves_a_dangling_reference_is_rejected)
 {
     ama.apply(two_versions + "---\nkind: rollout\nname: m\n"
                              "spec: {from: m-1, to: m-2, step_callers: [5]}\n");
-    CHECK_ENDS(exit_code::usage, ama.run({"delete", "version", "m-2"}));
+    CHECK_EXIT_CODE(exit_code::usage, ama.run({"delete", "version", "m-2"}));
     CHECK_EQUAL(std::string("rollout/m: spec.to: found \"m-2\", allowed the name of a version that "
                             "is there\n"),
-                ama.complaints());
-    CHECK_ENDS(exit_code::ok, ama.run({"delete", "rollout", "m"}));
-    CHECK_ENDS(exit_code::ok, ama.run({"delete", "version", "m-2"}));
-    CHECK_ENDS(exit_code::failed, ama.run({"delete", "version", "m-2"}));
+                ama.diagnostics());
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"delete", "rollout", "m"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"delete", "version", "m-2"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"delete", "version", "m-2"}));
 }
 
-TEST(commands_test, two_operators_who_change_one_object_at_once_see_a_conflict)
+TEST(commands_test, concurrent_changes_of_one_object_conflict)
 {
     // Ama's command has read the configuration and is about to write. Efua's change of the same
     // team is accepted in between. Ama's must not overwrite what she never saw: she is told who,
     // when, which object, and both values, and nothing is changed.
     ama.apply(team_a);
     store.before_swap = [this] { this->efua.apply(team_a_heavy); };
-    CHECK_ENDS(exit_code::conflict, ama.apply("kind: team\nname: a\nspec: {weight: 3}\n"));
+    CHECK_EXIT_CODE(exit_code::conflict, ama.apply("kind: team\nname: a\nspec: {weight: 3}\n"));
     CHECK_EQUAL(
         std::string("conflict: team/a was changed by efua at 2026-03-12 18:04:05Z, in revision 2, "
                     "after revision 1 that this change is based on\n"
                     "  spec.weight: theirs 5.0, yours 3.0\n"
                     "Nothing was changed. Look at the objects (pearhavenctl get), and give the "
                     "command again.\n"),
-        ama.complaints());
+        ama.diagnostics());
     ama.run({"get", "team", "a"});
     CHECK_CONTAINS("spec.weight  5.0", ama.results());
 }
 
-TEST(commands_test, two_operators_who_change_different_objects_both_have_their_way)
+TEST(commands_test, concurrent_changes_of_different_objects_both_succeed)
 {
     ama.apply(team_a);
     store.before_swap = [this] { this->efua.apply(team_b); };
-    CHECK_ENDS(exit_code::ok, ama.apply(team_a_heavy));
+    CHECK_EXIT_CODE(exit_code::ok, ama.apply(team_a_heavy));
     CHECK_CONTAINS("accepted as revision 3", ama.results());
 }
 
-TEST(commands_test, a_change_is_compared_with_the_revision_that_the_operator_states)
+TEST(commands_test, conflicts_are_detected_against_the_base_revision)
 {
     // Ama looked at revision 1 and went to edit her file. Efua's change came meanwhile, so that
     // Ama's command reads it and would take it for what Ama knew; --base says what she knew.
     ama.apply(team_a);
     efua.apply(team_a_heavy);
     ama.settings.base = 1;
-    CHECK_ENDS(exit_code::conflict, ama.run({"label", "team", "a", "tier=gold"}));
+    CHECK_EXIT_CODE(exit_code::conflict, ama.run({"label", "team", "a", "tier=gold"}));
     ama.settings.base = 2;
-    CHECK_ENDS(exit_code::ok, ama.run({"label", "team", "a", "tier=gold"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"label", "team", "a", "tier=gold"}));
     ama.settings.base = 9;
-    CHECK_ENDS(exit_code::failed, ama.run({"label", "team", "a", "tier=silver"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"label", "team", "a", "tier=silver"}));
 }
 
-TEST(commands_test, a_conflict_is_told_as_json_with_both_objects)
+TEST(commands_test, a_conflict_is_reported_as_json_with_both_objects)
 {
     ama.apply(team_a);
     efua.apply(team_a_heavy);
     ama.settings.base = 1;
     ama.settings.format = output_format::json;
     ama.run({"delete", "team", "a"});
-    const auto told = nlohmann::json::parse(ama.results())["conflicts"][0];
-    CHECK_EQUAL(std::string("efua"), told["author"].get<std::string>());
-    CHECK_EQUAL(5.0, told["theirs"]["spec"]["weight"].get<double>());
-    CHECK_FALSE(told["yours"].contains("spec"));
+    const auto reported = nlohmann::json::parse(ama.results())["conflicts"][0];
+    CHECK_EQUAL(std::string("efua"), reported["author"].get<std::string>());
+    CHECK_EQUAL(5.0, reported["theirs"]["spec"]["weight"].get<double>());
+    CHECK_FALSE(reported["yours"].contains("spec"));
 }
 
-TEST(commands_test, a_write_whose_reply_is_lost_is_settled_before_the_command_answers)
+TEST(commands_test, a_lost_write_reply_is_resolved_before_the_command_returns)
 {
     // The swap took effect, its reply was lost. The operator sees an accepted change, once.
-    store.lost_reply = [] {};
-    CHECK_ENDS(exit_code::ok, ama.apply(team_a));
+    store.on_lost_reply = [] {};
+    CHECK_EXIT_CODE(exit_code::ok, ama.apply(team_a));
     CHECK_CONTAINS("accepted as revision 1", ama.results());
     CHECK_EQUAL(1, store.swaps);
 }
 
-TEST(commands_test, a_lost_reply_is_settled_also_when_another_change_has_followed)
+TEST(commands_test, a_lost_write_reply_is_resolved_after_a_later_change)
 {
     // Ama's swap took effect and its reply was lost; then Efua changed the same team. Ama's change
     // was accepted, and is neither a conflict nor written again over Efua's.
-    store.lost_reply = [this] { this->efua.apply(team_a_heavy); };
-    CHECK_ENDS(exit_code::ok, ama.apply(team_a));
+    store.on_lost_reply = [this] { this->efua.apply(team_a_heavy); };
+    CHECK_EXIT_CODE(exit_code::ok, ama.apply(team_a));
     CHECK_CONTAINS("accepted as revision 1", ama.results());
     CHECK_EQUAL(2, store.swaps);
     ama.run({"get", "team", "a"});
     CHECK_CONTAINS("spec.weight  5.0", ama.results());
 }
 
-TEST(commands_test, a_lost_reply_with_a_store_that_stays_away_is_an_unknown_outcome)
+TEST(commands_test, a_lost_write_reply_during_a_store_outage_is_an_unknown_outcome)
 {
-    store.lost_reply = [this] { this->store.down = true; };
-    CHECK_ENDS(exit_code::unknown, ama.apply(team_a));
-    CHECK_CONTAINS("may have been accepted", ama.complaints());
+    store.on_lost_reply = [this] { this->store.down = true; };
+    CHECK_EXIT_CODE(exit_code::outcome_unknown, ama.apply(team_a));
+    CHECK_CONTAINS("may have been accepted", ama.diagnostics());
     store.down = false;
-    CHECK_ENDS(exit_code::ok, ama.apply(team_a));
+    CHECK_EXIT_CODE(exit_code::ok, ama.apply(team_a));
     CHECK_CONTAINS("nothing changed", ama.results());
 }
 
-TEST(commands_test, a_store_that_cannot_be_reached_is_a_failure_and_not_an_unknown_outcome)
+TEST(commands_test, an_unreachable_store_is_a_failure_and_not_an_unknown_outcome)
 {
     store.down = true;
-    CHECK_ENDS(exit_code::failed, ama.apply(team_a));
-    CHECK_ENDS(exit_code::failed, ama.run({"get"}));
-    CHECK_ENDS(exit_code::failed, ama.run({"history"}));
-    CHECK_ENDS(exit_code::failed, ama.run({"bills"}));
-    CHECK_ENDS(exit_code::failed, ama.run({"status"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.apply(team_a));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"get"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"history"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"bills"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"status"}));
 }
 
-TEST(commands_test, references_that_two_racing_changes_broke_together_are_told)
+TEST(commands_test, dangling_references_from_concurrent_changes_are_reported)
 {
     // Efua deletes a version while Ama names it in a rollout. Each was right when its author
     // looked, and they touch different objects, so both are accepted. Ama, who came second, is
     // warned.
     ama.apply(two_versions);
     store.before_swap = [this] { this->efua.run({"delete", "version", "m-2"}); };
-    CHECK_ENDS(exit_code::ok, ama.apply("kind: rollout\nname: m\n"
-                                        "spec: {from: m-1, to: m-2, step_callers: [5]}\n"));
+    CHECK_EXIT_CODE(exit_code::ok, ama.apply("kind: rollout\nname: m\n"
+                                             "spec: {from: m-1, to: m-2, step_callers: [5]}\n"));
     CHECK_EQUAL(std::string("warning: rollout/m: spec.to: found \"m-2\", allowed the name of a "
                             "version that is there\n"),
-                ama.complaints());
+                ama.diagnostics());
 }
 
-TEST(commands_test, labels_are_set_and_taken_away)
+TEST(commands_test, labels_are_set_and_removed)
 {
     ama.apply("kind: team\nname: a\nlabels: {x: y, tier: gold}\n");
-    CHECK_ENDS(exit_code::ok, ama.run({"label", "team", "a", "tier=silver", "x-", "new=1=2"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"label", "team", "a", "tier=silver", "x-", "new=1=2"}));
     ama.run({"get", "team", "a"});
     CHECK_EQUAL(std::string("revision 2\nFIELD        VALUE\nlabels.new   \"1=2\"\n"
                             "labels.tier  \"silver\"\n"),
                 ama.results());
-    CHECK_ENDS(exit_code::ok, ama.run({"label", "team", "a", "x-"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"label", "team", "a", "x-"}));
     CHECK_CONTAINS("nothing changed", ama.results());
 }
 
@@ -227,18 +227,18 @@
 {
     ama.apply(two_versions + "---\nkind: rollout\nname: m\n"
                              "spec: {from: m-1, to: m-2, step_callers: [5]}\n");
-    CHECK_ENDS(exit_code::ok, ama.run({"version", "withdraw", "m-2"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"version", "withdraw", "m-2"}));
     ama.run({"get", "version", "m-2"});
     CHECK_CONTAINS("spec.withdrawn  true", ama.results());
-    CHECK_ENDS(exit_code::ok, ama.run({"rollout", "m", "pause"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"rollout", "m", "pause"}));
     ama.run({"rollout", "m"});
     CHECK_CONTAINS("spec.paused        true", ama.results());
-    CHECK_ENDS(exit_code::ok, ama.run({"rollout", "m", "resume"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"rollout", "m", "resume"}));
     ama.run({"rollout", "m"});
     CHECK_CONTAINS("spec.paused        false", ama.results());
 }
 
-TEST(commands_test, wrong_usage_is_told_with_what_is_allowed)
+TEST(commands_test, wrong_usage_is_reported)
 {
     for (const auto& words : std::vector<std::vector<std::string>>{{"apply"},
                                                                    {"diff"},
@@ -253,17 +253,17 @@
                                                                    {"history", "x"},
                                                                    {"key-digest"},
                                                                    {"help", "x"}}) {
-        CHECK_ENDS(exit_code::usage, ama.run(words));
-        CHECK_FALSE(ama.complaints().empty());
+        CHECK_EXIT_CODE(exit_code::usage, ama.run(words));
+        CHECK_FALSE(ama.diagnostics().empty());
     }
 }
 
-TEST(commands_test, what_is_not_there_is_a_failure)
+TEST(commands_test, a_missing_object_is_a_failure)
 {
-    CHECK_ENDS(exit_code::failed, ama.run({"get", "team", "a"}));
-    CHECK_EQUAL(std::string("there is no team/a at revision 0\n"), ama.complaints());
-    CHECK_ENDS(exit_code::failed, ama.run({"label", "team", "a", "x=y"}));
-    CHECK_ENDS(exit_code::failed, ama.run({"version", "withdraw", "a"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"get", "team", "a"}));
+    CHECK_EQUAL(std::string("there is no team/a at revision 0\n"), ama.diagnostics());
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"label", "team", "a", "x=y"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"version", "withdraw", "a"}));
 }
 
 TEST(commands_test, diff_shows_each_field_and_changes_nothing)
@@ -271,19 +271,19 @@
     ama.apply(team_a);
     ama.input.files["b.yaml"] = team_a_heavy + "---\n" + team_b;
     ama.settings.files = {"b.yaml"};
-    CHECK_ENDS(exit_code::ok, ama.run({"diff"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"diff"}));
     CHECK_EQUAL(std::string("team/a to be changed\n  spec.weight: 2.0 -> 5.0\n"
                             "team/b to be created\n"),
                 ama.results());
     CHECK_EQUAL(1, store.swaps);
 }
 
-TEST(commands_test, history_names_author_time_and_objects)
+TEST(commands_test, history_shows_author_time_and_objects)
 {
     ama.apply(team_a);
     efua.run({"delete", "team", "a"});
     ama.settings.format = output_format::json;
-    CHECK_ENDS(exit_code::ok, ama.run({"history"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"history"}));
     const auto changes = nlohmann::json::parse(ama.results())["changes"];
     CHECK_EQUAL(std::string("ama"), changes[0]["author"].get<std::string>());
     CHECK_EQUAL(std::string("efua"), changes[1]["author"].get<std::string>());
@@ -291,7 +291,7 @@
     CHECK_EQUAL(1'773'338'645'000U, changes[1]["unix_ms"].get<std::uint64_t>());
 }
 
-TEST(commands_test, a_configuration_that_was_folded_into_pages_is_read_whole)
+TEST(commands_test, a_configuration_stored_in_pages_is_read_completely)
 {
     // The head holds a bounded number of changes; older ones live in the snapshot's pages only.
     for (int number = 0; number < 140; ++number) {
@@ -299,12 +299,12 @@
     }
     ama.settings.format = output_format::json;
     ama.run({"get", "team"});
-    const auto told = nlohmann::json::parse(ama.results());
-    CHECK_EQUAL(140U, told["revision"].get<std::uint64_t>());
-    CHECK_EQUAL(140U, told["objects"].size());
+    const auto reported = nlohmann::json::parse(ama.results());
+    CHECK_EQUAL(140U, reported["revision"].get<std::uint64_t>());
+    CHECK_EQUAL(140U, reported["objects"].size());
 }
 
-TEST(commands_test, a_snapshot_that_is_replaced_while_it_is_read_is_read_anew)
+TEST(commands_test, a_snapshot_replaced_during_a_read_is_read_again)
 {
     // The command has read the head. Before it reads the head's page, another's write folds the
     // snapshot into a new page, and the old one is removed. The operator sees the newer state.
@@ -321,11 +321,11 @@
         }
         this->store.entries.erase(key);
     };
-    CHECK_ENDS(exit_code::ok, ama.run({"get", "team", "u139"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"get", "team", "u139"}));
     CHECK_CONTAINS("revision 280", ama.results());
 }
 
-TEST(commands_test, watch_shows_each_change_once_and_outlives_an_outage)
+TEST(commands_test, watch_shows_each_change_once_across_a_store_outage)
 {
     ama.apply(team_a);
     int round = 0;
@@ -340,7 +340,7 @@
     ama.clock.on_sleep = [this] { this->store.down = false; };
     ama.settings.timeout = std::chrono::seconds{6};
     ama.settings.base = 0;
-    CHECK_ENDS(exit_code::ok, ama.run({"watch"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"watch"}));
     std::istringstream lines(ama.results());
     std::string line;
     for (const std::string object : {"team/a", "team/b", "team/a"}) {
@@ -350,7 +350,7 @@
     CHECK_FALSE(std::getline(lines, line));
     CHECK_EQUAL(std::string("the key-value service cannot be reached; going on trying\n"
                             "the key-value service answers again\n"),
-                ama.complaints());
+                ama.diagnostics());
 }
 
 TEST(commands_test, bills_count_each_request_once)
@@ -360,7 +360,7 @@
     const pearhaven::coordination::bill two{"r2", "b", "m-1", "e1", 1, 2, 0, 3};
     store.put("bills/i/1", codec->write_bills({one, two}));
     store.put("bills/j/1", codec->write_bills({one}));
-    CHECK_ENDS(exit_code::ok, ama.run({"bills"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"bills"}));
     CHECK_EQUAL(std::string("TEAM  VERSION  REQUESTS  PROMPT  COMPLETION  SPENT  COST\n"
                             "a     m-1      1         10      20          0      30\n"
                             "b     m-1      1         1       2           0      3\n"),
@@ -371,23 +371,23 @@
     CHECK_EQUAL(std::string("r2"),
                 nlohmann::json::parse(ama.results())["bills"][0]["request"].get<std::string>());
     store.put("bills/j/2", "?");
-    CHECK_ENDS(exit_code::failed, ama.run({"bills"}));
+    CHECK_EXIT_CODE(exit_code::failed, ama.run({"bills"}));
 }
 
 TEST(commands_test, a_keys_digest_does_not_depend_on_the_newline_after_it)
 {
     ama.input.files["-"] = "abc\n";
-    CHECK_ENDS(exit_code::ok, ama.run({"key-digest"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"key-digest"}));
     CHECK_EQUAL(std::string("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad\n"),
                 ama.results());
 }
 
-TEST(commands_test, help_names_every_command)
+TEST(commands_test, help_lists_every_command)
 {
     ama.run({"help"});
     for (const auto& each : make_commands()) {
         CHECK_CONTAINS(each->usage().name + " ", ama.results());
     }
-    CHECK_ENDS(exit_code::ok, ama.run({"help", "apply"}));
+    CHECK_EXIT_CODE(exit_code::ok, ama.run({"help", "apply"}));
     CHECK_CONTAINS("pearhavenctl apply -f teams.yaml", ama.results());
 }
--- a/control/test/fakes.cpp
+++ b/control/test/fakes.cpp
@@ -35,15 +35,15 @@
     return {};
 }
 
-kv_reply fake_store::answer_read(const std::string& prefix, bool whole_key)
+kv_reply fake_store::answer_read(const std::string& prefix, bool exact_match)
 {
     kv_reply reply{kv_outcome::ok, this->revision, 0, {}};
     for (const auto& [key, entry] : this->entries) {
-        if (whole_key ? key == prefix : key.rfind(prefix, 0) == 0) {
+        if (exact_match ? key == prefix : key.rfind(prefix, 0) == 0) {
             reply.entries.push_back(entry);
         }
     }
-    if (whole_key && reply.entries.empty()) {
+    if (exact_match && reply.entries.empty()) {
         reply.outcome = kv_outcome::not_found;
     }
     return reply;
@@ -51,8 +51,8 @@
 
 kv_reply fake_store::answer_swap(const coordination::kv_compare_and_swap& swap)
 {
-    if (const auto act = std::exchange(this->before_swap, nullptr)) {
-        act();
+    if (const auto hook = std::exchange(this->before_swap, nullptr)) {
+        hook();
     }
     const auto found = this->entries.find(swap.key);
     const auto current = found == this->entries.end() ? 0 : found->second.revision;
@@ -63,8 +63,8 @@
     }
     this->put(swap.key, swap.value);
     ++this->swaps;
-    if (const auto act = std::exchange(this->lost_reply, nullptr)) {
-        act();
+    if (const auto hook = std::exchange(this->on_lost_reply, nullptr)) {
+        hook();
         return {kv_outcome::unknown, 0, 0, {}};
     }
     return {kv_outcome::ok, this->revision, 0, {}};
@@ -80,9 +80,9 @@
 {
     this->settings.arguments.assign(words.begin() + 1, words.end());
     std::ostringstream results;
-    std::ostringstream complaints;
+    std::ostringstream diagnostics;
     configuration_store configuration(this->store, this->clock);
-    output out(this->settings.format, results, complaints);
+    output out(this->settings.format, results, diagnostics);
     command_context context{this->settings, configuration, this->routers,
                             this->input,    this->clock,   out};
     exit_code end = exit_code::usage;
@@ -92,7 +92,7 @@
         }
     }
     this->result_text = results.str();
-    this->complaint_text = complaints.str();
+    this->diagnostic_text = diagnostics.str();
     return end;
 }
 
--- a/control/test/fakes.hpp
+++ b/control/test/fakes.hpp
@@ -32,13 +32,14 @@
     bool down = false;
     int swaps = 0;                     // that took effect
     std::function<void()> before_swap; // called once, before the next swap is looked at
-    std::function<void()> lost_reply;  // called once, after the next swap, whose reply is then lost
+    std::function<void()>
+        on_lost_reply; // called once, after the next swap, whose reply is then lost
     std::function<void()> on_watch;
     std::function<void(const std::string& key)> before_get;
 
 private:
     coordination::kv_reply answer(const coordination::kv_request& request);
-    coordination::kv_reply answer_read(const std::string& prefix, bool whole_key);
+    coordination::kv_reply answer_read(const std::string& prefix, bool exact_match);
     coordination::kv_reply answer_swap(const coordination::kv_compare_and_swap& swap);
 };
 
@@ -61,18 +62,19 @@
 
 class fake_routers : public router_inspector {
 public:
-    std::vector<router_status> ask(const std::vector<coordination::member>& routers) override
+    std::vector<router_status>
+    query_status(const std::vector<coordination::member>& routers) override
     {
         std::vector<router_status> answers;
         for (const auto& router : routers) {
-            this->asked.push_back(router.id);
+            this->queried.push_back(router.id);
             answers.push_back(this->statuses[router.id]);
         }
         return answers;
     }
 
     std::map<std::string, router_status> statuses;
-    std::vector<std::string> asked;
+    std::vector<std::string> queried;
 };
 
 class fake_input : public input_source {
@@ -96,7 +98,7 @@
 
     // What the last command wrote.
     [[nodiscard]] std::string results() const { return this->result_text; }
-    [[nodiscard]] std::string complaints() const { return this->complaint_text; }
+    [[nodiscard]] std::string diagnostics() const { return this->diagnostic_text; }
 
     // Applies a text, as from a file.
     exit_code apply(const std::string& yaml);
@@ -109,7 +111,7 @@
 private:
     fake_store& store;
     std::string result_text;
-    std::string complaint_text;
+    std::string diagnostic_text;
 };
 
 void register_router(fake_store& store, const std::string& id);
--- a/control/test/fleet_wait_test.cpp
+++ b/control/test/fleet_wait_test.cpp
@@ -16,7 +16,7 @@
     return status;
 }
 
-router_status silent()
+router_status unanswered()
 {
     router_status status;
     status.problem = "no answer";
@@ -44,7 +44,7 @@
     }
 };
 
-TEST(fleet_wait_test, a_change_is_waited_for_until_every_router_has_it)
+TEST(fleet_wait_test, the_wait_ends_when_every_router_has_applied_the_change)
 {
     ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", at_revision(0)}};
     ama.clock.on_sleep = [this] { this->ama.routers.statuses["i2"] = at_revision(1); };
@@ -53,28 +53,28 @@
                std::string::npos);
 }
 
-TEST(fleet_wait_test, routers_that_do_not_have_it_in_time_are_named)
+TEST(fleet_wait_test, lagging_routers_are_listed_after_the_timeout)
 {
-    ama.routers.statuses = {{"i1", silent()}, {"i2", at_revision(0)}};
-    CHECK_TRUE(apply() == exit_code::not_everywhere);
+    ama.routers.statuses = {{"i1", unanswered()}, {"i2", at_revision(0)}};
+    CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
     CHECK_EQUAL(std::string("not known to be in force everywhere after 5000 ms:\n"
                             "  router i1 (10.0.0.1:2, osu): no answer\n"
                             "  router i2 (10.0.0.1:2, osu): at revision 0 still\n"),
-                ama.complaints());
+                ama.diagnostics());
     CHECK_TRUE(ama.clock.time >= pearhaven::decision::instant(std::chrono::seconds{5}));
 }
 
-TEST(fleet_wait_test, a_router_whose_record_vanishes_no_longer_counts)
+TEST(fleet_wait_test, a_router_whose_record_expires_is_no_longer_waited_for)
 {
     // A router dies while the operator waits. It never answers, and its record goes with its lease.
     // The operator sees the change in force, not a failure for a router that is no more.
-    ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", silent()}};
+    ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", unanswered()}};
     ama.clock.on_sleep = [this] { this->store.entries.erase("routers/i2"); };
     CHECK_TRUE(apply() == exit_code::ok);
     CHECK_TRUE(ama.results().find("of which there are 1") != std::string::npos);
 }
 
-TEST(fleet_wait_test, a_router_that_comes_while_waiting_counts)
+TEST(fleet_wait_test, a_router_that_registers_during_the_wait_is_waited_for)
 {
     // A replacement starts while the operator waits for another router. It must have the change too
     // before the operator is told that it is in force everywhere.
@@ -83,20 +83,20 @@
         register_router(this->store, "i3");
         this->ama.routers.statuses["i2"] = at_revision(1);
     };
-    CHECK_TRUE(apply() == exit_code::not_everywhere);
-    CHECK_TRUE(ama.complaints().find("router i3") != std::string::npos);
+    CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
+    CHECK_TRUE(ama.diagnostics().find("router i3") != std::string::npos);
 }
 
-TEST(fleet_wait_test, a_router_that_had_the_revision_need_not_answer_again)
+TEST(fleet_wait_test, a_confirmed_router_need_not_answer_again)
 {
     ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", at_revision(0)}};
     ama.clock.on_sleep = [this] {
-        this->ama.routers.statuses = {{"i1", silent()}, {"i2", at_revision(1)}};
+        this->ama.routers.statuses = {{"i1", unanswered()}, {"i2", at_revision(1)}};
     };
     CHECK_TRUE(apply() == exit_code::ok);
 }
 
-TEST(fleet_wait_test, few_of_the_routers_that_had_the_revision_are_asked_again)
+TEST(fleet_wait_test, few_confirmed_routers_are_queried_again)
 {
     for (int number = 3; number < 30; ++number) {
         const auto id = "i" + std::to_string(number);
@@ -107,10 +107,10 @@
     ama.routers.statuses["i2"] = at_revision(0);
     ama.clock.on_sleep = [this] { this->ama.routers.statuses["i2"] = at_revision(1); };
     CHECK_TRUE(apply() == exit_code::ok);
-    CHECK_EQUAL(29U + 3U, ama.routers.asked.size());
+    CHECK_EQUAL(29U + 3U, ama.routers.queried.size());
 }
 
-TEST(fleet_wait_test, a_router_without_a_record_counts_while_others_take_it_for_live)
+TEST(fleet_wait_test, a_router_without_a_record_is_waited_for_while_others_consider_it_live)
 {
     // An outage of the store outlasted the leases: the records went, and only i1 and i2 have
     // registered again when the operator withdraws a version. i3 serves on under the old
@@ -120,38 +120,38 @@
     knows_i3.members[0].id = "i3";
     knows_i3.members[0].host = "10.0.0.3";
     ama.routers.statuses = {{"i1", knows_i3}, {"i2", at_revision(1)}, {"i3", at_revision(0)}};
-    CHECK_TRUE(apply() == exit_code::not_everywhere);
-    CHECK_TRUE(ama.complaints().find("router i3 (10.0.0.3") != std::string::npos);
+    CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
+    CHECK_TRUE(ama.diagnostics().find("router i3 (10.0.0.3") != std::string::npos);
     ama.clock.on_sleep = [this] { this->ama.routers.statuses["i1"] = at_revision(1); };
     CHECK_TRUE(apply() == exit_code::ok);
 }
 
-TEST(fleet_wait_test, without_any_record_nothing_is_taken_for_in_force)
+TEST(fleet_wait_test, without_any_record_a_change_is_not_confirmed)
 {
     // The same outage, and no router has registered again yet: there is nobody to ask.
     store.entries.clear();
-    CHECK_TRUE(apply() == exit_code::not_everywhere);
-    CHECK_TRUE(ama.complaints().find("no router has a record") != std::string::npos);
+    CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
+    CHECK_TRUE(ama.diagnostics().find("no router has a record") != std::string::npos);
 }
 
-TEST(fleet_wait_test, an_unchanged_configuration_is_waited_for_as_well)
+TEST(fleet_wait_test, an_unchanged_configuration_is_waited_for)
 {
     // The first command gave up waiting, or its outcome was unknown; giving it again must tell
     // whether what is accepted is in force by now.
     ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", at_revision(0)}};
-    CHECK_TRUE(apply() == exit_code::not_everywhere);
-    CHECK_TRUE(apply() == exit_code::not_everywhere);
+    CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
+    CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
     ama.routers.statuses["i2"] = at_revision(1);
     CHECK_TRUE(apply() == exit_code::ok);
     CHECK_EQUAL(1, store.swaps);
 }
 
-TEST(fleet_wait_test, a_store_that_goes_away_after_the_change_leaves_it_not_known_in_force)
+TEST(fleet_wait_test, a_store_outage_after_the_change_leaves_it_unconfirmed)
 {
     ama.routers.statuses = {{"i1", at_revision(0)}, {"i2", at_revision(0)}};
     ama.clock.on_sleep = [this] { this->store.down = true; };
-    CHECK_TRUE(apply() == exit_code::not_everywhere);
-    CHECK_TRUE(ama.complaints().find("the routers cannot be listed") != std::string::npos);
+    CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
+    CHECK_TRUE(ama.diagnostics().find("the routers cannot be listed") != std::string::npos);
 }
 
 TEST(fleet_wait_test, without_the_operator_key_nothing_is_changed)
@@ -166,7 +166,7 @@
     auto knows_i3 = at_revision(0);
     knows_i3.members.resize(1);
     knows_i3.members[0].id = "i3";
-    ama.routers.statuses = {{"i1", knows_i3}, {"i2", silent()}, {"i3", at_revision(0)}};
+    ama.routers.statuses = {{"i1", knows_i3}, {"i2", unanswered()}, {"i3", at_revision(0)}};
     ama.settings.format = output_format::json;
     CHECK_TRUE(ama.run({"status"}) == exit_code::failed);
     const auto routers = nlohmann::json::parse(ama.results())["routers"];
--- a/control/test/parser_fuzz_test.cpp
+++ b/control/test/parser_fuzz_test.cpp
@@ -36,7 +36,7 @@
 }
 
 // Lists within lists, deeper than a stack holds of most functions.
-std::string abyss()
+std::string deeply_nested_list()
 {
     constexpr std::size_t depth = 200'000;
     return std::string(depth, '[') + std::string(depth, ']');
@@ -56,14 +56,14 @@
     const auto wrong =
         first_fault(status_pages, 2'000, [](const std::string& bytes, byte_mutator&) {
             const auto read = status_of(bytes);
-            auto nothing_but_problem = router_status();
-            nothing_but_problem.problem = read.problem;
-            const bool is_whole =
+            auto only_problem = router_status();
+            only_problem.problem = read.problem;
+            const bool ports_unchanged =
                 std::all_of(read.members.begin(), read.members.end(), [&](const auto& member) {
                     // A port is as it was said, not what is left of a larger number.
                     return bytes.find(std::to_string(member.operator_port)) != std::string::npos;
                 });
-            return is_whole && (read.problem.empty() || read == nothing_but_problem);
+            return ports_unchanged && (read.problem.empty() || read == only_problem);
         });
     CHECK_EQUAL(std::string(), wrong);
 }
@@ -85,9 +85,9 @@
 
 // A body that is whole JSON and nested without reason: each value within the other is copied and
 // printed by a call within a call, until the stack ends and with it the command.
-TEST(control_parser_fuzz, a_body_nested_without_reason_is_shown_as_text)
+TEST(control_parser_fuzz, a_deeply_nested_body_is_shown_as_text)
 {
-    const auto body = R"({"spec":{"weight":)" + abyss() + "}}";
+    const auto body = R"({"spec":{"weight":)" + deeply_nested_list() + "}}";
     CHECK_TRUE(differences(body, body).empty());
     const auto found = differences("", body);
     CHECK_EQUAL(1U, found.size());
@@ -95,10 +95,10 @@
     CHECK_TRUE(object_json({"team", "a", body}).at("unreadable") == body);
 }
 
-TEST(control_parser_fuzz, a_status_page_nested_without_reason_is_a_problem)
+TEST(control_parser_fuzz, a_deeply_nested_status_page_is_a_problem)
 {
     const auto page = R"({"incarnation":"i1","revision":7,"ready":true,"draining":false,)"
                       R"("in_flight":3,"members":)" +
-                      abyss() + "}";
+                      deeply_nested_list() + "}";
     CHECK_EQUAL(std::string("answered with something that is no status"), status_of(page).problem);
 }
--- a/control/test/router_inspector_test.cpp
+++ b/control/test/router_inspector_test.cpp
@@ -39,7 +39,7 @@
     CHECK_EQUAL(5, status.members[0].operator_port);
 }
 
-TEST(router_inspector_test, the_answer_of_a_replacement_says_nothing_of_the_router_that_was_meant)
+TEST(router_inspector_test, a_status_page_of_another_incarnation_is_a_problem)
 {
     // A router was replaced on the same address while its record still stands. Its successor's high
     // revision would let a wait end while the old one, paused, still runs the old configuration.
@@ -47,7 +47,7 @@
                 read_status(answer(200, page), "i0").problem);
 }
 
-TEST(router_inspector_test, whatever_is_no_status_page_is_a_problem)
+TEST(router_inspector_test, an_invalid_status_response_is_a_problem)
 {
     http_answer lost;
     lost.result.error = http_error::connect_failed;
@@ -63,7 +63,7 @@
 }
 
 // Cut down to sixteen bits, it would be the port of somebody else.
-TEST(router_inspector_test, a_member_with_a_port_out_of_range_is_left_out)
+TEST(router_inspector_test, a_member_with_a_port_out_of_range_is_ignored)
 {
     for (const auto* const port : {"0", "65536", "65541", "18446744073709551615", "-1", "5.5"}) {
         const auto members = R"({"incarnation":"i1","revision":7,"ready":true,"draining":false,)"
--- a/control/test/settings_test.cpp
+++ b/control/test/settings_test.cpp
@@ -30,7 +30,7 @@
 }
 ;
 
-TEST(settings_test, files_may_be_named_many_times)
+TEST(settings_test, the_file_flag_may_be_repeated)
 {
     const auto got = read({"apply", "-f", "a", "--wait", "--file", "b", "c"});
     CHECK_EQUAL(0U, got.faults.size());
@@ -40,7 +40,7 @@
     CHECK_TRUE(got.settings.wait);
 }
 
-TEST(settings_test, the_environment_gives_what_the_command_line_leaves_out)
+TEST(settings_test, environment_variables_supply_flags_that_are_not_given)
 {
     setenv("PEARHAVENCTL_KV", "http://10.0.0.1:1/", 1);
     setenv("PEARHAVENCTL_OPERATOR_KEY", "secret", 1);
@@ -49,7 +49,7 @@
     CHECK_EQUAL(std::string("secret"), read({"get"}).settings.operator_key);
 }
 
-TEST(settings_test, a_revision_and_a_timeout_are_absent_unless_stated)
+TEST(settings_test, base_and_timeout_are_absent_by_default)
 {
     CHECK_FALSE(read({"get"}).settings.base.has_value());
     CHECK_FALSE(read({"get"}).settings.timeout.has_value());
