--- a/control/include/pearhaven/control/program.hpp
+++ b/control/include/pearhaven/control/program.hpp
@@ -3,7 +3,7 @@
 
 namespace pearhaven::control {
 
-// Runs pearhavenctl on its command line, and gives the status that the process ends with.
+// Runs pearhavenctl with its command line and returns the exit status of the process.
 int run_program(int argc, char** argv);
 
 } // namespace pearhaven::control
--- a/control/src/apply_command.cpp
+++ b/control/src/apply_command.cpp
@@ -11,7 +11,7 @@
     {
         return {"apply",
                 "-f FILE... [--wait] [--timeout SECONDS] [--base REVISION]",
-                "makes the objects in the files the configuration, as one change",
+                "creates or updates the objects in the files, as one change",
                 {"apply -f teams.yaml -f pools.yaml --wait", "apply -f - --base 41 < teams.yaml"}};
     }
 
--- a/control/src/bills_command.cpp
+++ b/control/src/bills_command.cpp
@@ -11,7 +11,7 @@
 using coordination::bill;
 using nlohmann::json;
 
-// What one team owes for one version.
+// Totals of the bills of one team for one version.
 struct bill_total {
     std::uint64_t requests = 0;
     std::uint64_t prompt_tokens = 0;
--- a/control/src/change.cpp
+++ b/control/src/change.cpp
@@ -32,8 +32,8 @@
     return config_state(state.revision(), objects).objects();
 }
 
-// Faults between objects that the change would bring in. Those that were there before do not keep
-// an operator from mending something else.
+// Returns the faulty references that the change would introduce. Faults that existed before it are
+// left out, so that they do not block an unrelated repair.
 std::vector<configuration_fault> new_reference_faults(const config_state& state,
                                                       const std::vector<object_change>& changes)
 {
@@ -56,7 +56,7 @@
     return "  " + object_text(change.after.kind, change.after.name) + " " + change.verb() + "\n";
 }
 
-// One change on its way: written, explained where it was refused, and waited for.
+// Writes one change, explains a rejection, and waits for the routers to apply it.
 class change_in_progress {
 public:
     change_in_progress(command_context& current_context, const loaded_configuration& loaded,
@@ -79,9 +79,9 @@
             }
         }
         this->result["revision"] = this->revision;
-        const exit_code end = this->context.settings.wait ? this->wait() : exit_code::ok;
+        const exit_code exit_status = this->context.settings.wait ? this->wait() : exit_code::ok;
         this->context.out.show(this->text, this->result);
-        return end;
+        return exit_status;
     }
 
 private:
@@ -96,9 +96,9 @@
             return this->report_unknown_outcome(edit);
         }
         if (done.error) {
-            const exit_code end = report_error(this->context, done.error);
+            const exit_code exit_status = report_error(this->context, done.error);
             this->context.out.print_diagnostic("Nothing was changed.");
-            return end;
+            return exit_status;
         }
         this->revision = done.revision;
         this->text = "accepted as revision " + std::to_string(this->revision) + ":\n";
@@ -123,8 +123,9 @@
         return edit;
     }
 
-    // Others' changes to other objects may have come in between, and together with this one leave a
-    // reference to nothing: each was right when its author looked. It is told, not undone.
+    // A concurrent change of other objects may have been accepted since the configuration was read.
+    // Each change is valid by itself, but together they can leave a dangling reference. The change
+    // has been accepted already, so it is not undone: a warning is printed.
     void check_references_after_write()
     {
         if (this->revision == this->seen.head.revision + 1) {
@@ -141,13 +142,13 @@
 
     exit_code report_unknown_outcome(const config_edit& edit)
     {
-        const exit_code end = report_error(this->context, control_error::outcome_unknown);
+        const exit_code exit_status = report_error(this->context, control_error::outcome_unknown);
         this->context.out.print_diagnostic(
-            "Give the same command again when the service answers: it says that nothing changed "
-            "when this change was accepted. In the history it is write " +
+            "Run the same command again when the service is reachable: it reports that nothing "
+            "changed if this change was accepted. The history lists this change as write " +
             edit.write_id + ".");
         this->context.out.show("", {{"error", "outcome_unknown"}, {"write_id", edit.write_id}});
-        return end;
+        return exit_status;
     }
 
     exit_code wait()
@@ -222,7 +223,7 @@
 {
     if (context.settings.wait && context.settings.operator_key.empty()) {
         context.out.print_diagnostic(
-            "--wait asks the routers and needs the operator key: found none, "
+            "--wait queries the routers and needs the operator key: found none, "
             "allowed is --operator_key_file or PEARHAVENCTL_OPERATOR_KEY");
         return false;
     }
--- a/control/src/change.hpp
+++ b/control/src/change.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::control {
 
-// One object that is to become another; empty bodies stand for objects that are not there.
+// A change of one object. An empty body stands for an object that does not exist.
 struct object_change {
     coordination::config_object before;
     coordination::config_object after;
@@ -20,16 +20,16 @@
     friend bool operator==(const object_change&, const object_change&) = default;
 };
 
-// Those of the wanted objects that differ from what the state holds.
+// Returns a change for each wanted object that differs from its version in the state.
 std::vector<object_change> find_changes(const coordination::config_state& state,
                                         const std::vector<coordination::config_object>& wanted);
 
-// Whether the command was called in a way that it can be carried out; says why not. Looked at
-// before anything is changed.
+// Returns false and prints the reason when --wait is given without the operator key, which is
+// needed to query the routers. Checked before anything is changed.
 bool has_valid_wait_settings(command_context& context);
 
-// Brings the wanted objects into force as one change, all or nothing, and says what came of it. An
-// empty body deletes. With --wait, returns when the change is in force on every live router.
+// Writes the wanted objects as one atomic change and prints the result. An empty body deletes the
+// object. With --wait, returns once every live router has applied the change, or after the timeout.
 exit_code submit_change(command_context& context, const loaded_configuration& seen,
                         const std::vector<coordination::config_object>& wanted);
 
--- a/control/src/command.hpp
+++ b/control/src/command.hpp
@@ -15,7 +15,7 @@
 
 namespace pearhaven::control {
 
-// What a command works on.
+// Settings of the call and the services that a command uses.
 struct command_context {
     const control_settings& settings;
     configuration_store& store;
@@ -25,7 +25,7 @@
     output& out;
 };
 
-// How a command is called. The examples are shown by help.
+// Usage of a command, as the help command shows it.
 struct command_usage {
     std::string name;
     std::string arguments;
@@ -56,13 +56,13 @@
 command_ptr make_key_digest_command();
 command_ptr make_help_command();
 
-// In the order in which help lists them.
+// Returns all commands in the order in which help lists them.
 std::vector<command_ptr> make_commands();
 
-// Says how the command is called, and ends it.
+// Prints the usage of the command and returns the exit status for wrong usage.
 exit_code report_usage(const command& called, command_context& context);
 
-// Says why the command could not be carried out, and ends it.
+// Prints the error and returns the matching exit status.
 exit_code report_error(command_context& context, std::error_code error);
 
 } // namespace pearhaven::control
--- a/control/src/configuration_store.cpp
+++ b/control/src/configuration_store.cpp
@@ -52,8 +52,8 @@
     return reply;
 }
 
-// Another's write may fold the snapshot into new pages between the reads of the head and of a page;
-// then the page can be gone, and the newer head says where to look.
+// A concurrent write may compact the snapshot into new pages between the reads of the head and of a
+// page. The old page can then be gone, and the newer head is read to find the new pages.
 loaded_configuration configuration_store::load()
 {
     for (int attempt = 0; attempt < read_attempts; ++attempt) {
@@ -78,7 +78,7 @@
     return failed(control_error::store_unreadable);
 }
 
-// Nothing when a page is gone.
+// Returns nothing when a page no longer exists.
 std::optional<loaded_configuration>
 configuration_store::load_snapshot(const coordination::config_head& head)
 {
--- a/control/src/configuration_store.hpp
+++ b/control/src/configuration_store.hpp
@@ -17,12 +17,13 @@
 
 namespace pearhaven::control {
 
-// The configuration as the store holds it. With an error, the rest is empty.
+// The configuration as stored. On an error, all other members are empty.
 struct loaded_configuration {
     std::error_code error;
     coordination::config_head head;
     coordination::config_state_ptr state;
-    coordination::store_revision head_store_revision = 0; // for `watch`
+    coordination::store_revision head_store_revision =
+        0; // store revision of the head entry, for `watch`
 };
 
 struct loaded_members {
@@ -32,24 +33,24 @@
 
 struct loaded_bills {
     std::error_code error;
-    std::vector<coordination::bill> bills; // as stored: not folded
+    std::vector<coordination::bill> bills; // as stored: one request can have several bills
     std::size_t unreadable_pages = 0;
 };
 
-// What commands read from the key-value service and write to it. Every call blocks until it has an
-// answer or has given up, after a bounded number of tries. All errors are control_error.
+// Reads from and writes to the key-value service for the commands. Each call blocks until it has a
+// reply or gives up after a bounded number of attempts. All errors are control_error.
 class configuration_store {
 public:
-    // Both must outlive the object.
+    // Both must outlive this object.
     configuration_store(coordination::key_value_store& store, process_clock& clock);
 
     [[nodiscard]] loaded_configuration load();
 
-    // Carries the edit through coordination's config_writer, which settles lost replies.
+    // Writes the edit with coordination::config_writer, which resolves writes whose reply was lost.
     [[nodiscard]] coordination::config_write_done write(const coordination::config_edit& edit);
 
-    // Waits until the head was written after that revision. Nothing when it was not, or when the
-    // store could not be asked.
+    // Waits until the head is written after the given store revision. Returns `unchanged` when it
+    // is not within the wait, and `unavailable` when the store cannot be reached.
     enum class watch_outcome { changed, unchanged, unavailable };
     [[nodiscard]] watch_outcome watch(coordination::store_revision after, decision::duration wait);
 
--- a/control/src/conflict_report.cpp
+++ b/control/src/conflict_report.cpp
@@ -11,7 +11,8 @@
 using coordination::config_object;
 using nlohmann::json;
 
-// The conflicts come in order of revision within each object.
+// Keeps the last conflict of each object. Conflicts of one object are adjacent and ordered by
+// revision.
 std::vector<config_conflict> latest_per_object(const std::vector<config_conflict>& all)
 {
     std::vector<config_conflict> latest;
@@ -86,8 +87,8 @@
         conflicts.push_back(std::move(explained));
     }
     context.out.print_diagnostic(
-        "Nothing was changed. Look at the objects (pearhavenctl get), and give "
-        "the command again.");
+        "Nothing was changed. Check the objects (pearhavenctl get) and run the "
+        "command again.");
     context.out.show("", {{"error", "conflict"}, {"conflicts", std::move(conflicts)}});
     return exit_code::conflict;
 }
--- a/control/src/conflict_report.hpp
+++ b/control/src/conflict_report.hpp
@@ -7,8 +7,8 @@
 
 namespace pearhaven::control {
 
-// Says of each object that another changed first who did, when and in which revision, with both
-// values. The other's values are read anew; they are left out when that fails.
+// Prints for each object in conflict who changed it, when and in which revision, with the values of
+// both changes. The stored values are read again, and omitted when that read fails.
 exit_code report_conflict(command_context& context, const coordination::config_edit& edit,
                           const coordination::config_write_done& refused);
 
--- a/control/src/delete_command.cpp
+++ b/control/src/delete_command.cpp
@@ -11,7 +11,7 @@
     {
         return {"delete",
                 "KIND NAME [--wait] [--timeout SECONDS] [--base REVISION]",
-                "takes an object out of the configuration",
+                "deletes an object from the configuration",
                 {"delete rollout adjudicator --wait"}};
     }
 
--- a/control/src/errors.cpp
+++ b/control/src/errors.cpp
@@ -24,8 +24,8 @@
         case control_error::conflict:
             return "another operator changed the same objects first";
         case control_error::stale_view:
-            return "the revision looked at is too old, or not there yet, to tell what has changed "
-                   "since";
+            return "the base revision is too old or does not exist yet, so that changes since it "
+                   "cannot be determined";
         case control_error::too_large:
             return "the change is too large for the key-value service";
         case control_error::outcome_unknown:
--- a/control/src/errors.hpp
+++ b/control/src/errors.hpp
@@ -5,20 +5,20 @@
 
 namespace pearhaven::control {
 
-// Status that the process ends with. Part of the operators' interface: scripts rely on it.
+// Exit status of the process. Operators' scripts rely on these values.
 enum class exit_code {
     ok = 0,
-    failed = 1,                 // refused, or could not be carried out; nothing was changed
-    usage = 2,                  // wrong command line, or a configuration with faults
+    failed = 1,                 // rejected or failed; nothing was changed
+    usage = 2,                  // wrong command line, or faults in the configuration
     conflict = 3,               // another operator changed the same object first
-    not_applied_everywhere = 4, // accepted, but not in force on every router in time
+    not_applied_everywhere = 4, // accepted, but not confirmed by every router in time
     outcome_unknown = 5,        // may or may not have been accepted
 };
 
-// Why a command could not be carried out.
+// Reasons for which a command fails.
 enum class control_error {
     store_unavailable = 1,
-    store_unreadable, // a value in the store that this program does not understand
+    store_unreadable, // a stored value that this program cannot decode
     conflict,
     stale_view,
     too_large,
@@ -27,7 +27,7 @@
 
 std::error_code make_error_code(control_error error);
 
-// Turns an error of the layers below into one of this layer's. No error stays none.
+// Maps errors of the coordination layer to control_error. Other values are returned unchanged.
 std::error_code to_control_error(std::error_code error);
 
 exit_code to_exit_code(std::error_code error);
--- a/control/src/fleet_wait.cpp
+++ b/control/src/fleet_wait.cpp
@@ -11,7 +11,8 @@
 
 constexpr decision::duration poll_interval = std::chrono::milliseconds{200};
 
-// Routers that have the revision already and are asked all the same whom they take for live.
+// Number of confirmed routers that are still queried in each round, for their view of the
+// membership.
 constexpr std::size_t max_membership_sources = 2;
 
 class fleet_wait {
@@ -52,8 +53,8 @@
         return result;
     }
 
-    // Asks those that are not known to have the revision, and a few more for their view of the
-    // fleet.
+    // Queries the routers that are not yet confirmed, and a few confirmed ones for their view of
+    // the membership.
     std::vector<router_status> query_status(const std::vector<member>& routers,
                                             fleet_wait_result& result)
     {
--- a/control/src/fleet_wait.hpp
+++ b/control/src/fleet_wait.hpp
@@ -11,7 +11,7 @@
 
 namespace pearhaven::control {
 
-// A live router of which it is not known that the revision is in force there.
+// A live router that is not known to have applied the revision.
 struct lagging_router {
     coordination::member router;
     std::string reason;
@@ -21,21 +21,22 @@
 
 struct fleet_wait_result {
     bool applied = false;
-    std::size_t routers = 0; // live ones, when the wait ended
+    std::size_t routers = 0; // number of live routers at the end of the wait
     std::vector<lagging_router> lagging;
     std::string problem; // why the routers could not be listed
 };
 
-// Routers that are not on the list, but that those which answered do not take for dead.
+// Returns the routers that are not listed but that a router in `statuses` does not consider dead.
 std::vector<coordination::member> unlisted_members(const std::vector<coordination::member>& listed,
                                                    const std::vector<router_status>& statuses);
 
-// Waits until every live router has the revision, or a higher one, in force. Live is a router that
-// has a record in the store, and one that a router with a record does not take for dead: during an
-// outage of the store, leases may end and records go while their routers serve on. Both are read
-// anew each round, so that a router that has gone no longer counts, and one that has come does. One
-// that once had the revision keeps it, since none goes back. Without a single record there is
-// nothing to go by, and the wait goes on.
+// Waits until every live router has applied the revision or a higher one. A router is live when it
+// has a record in the store, or when a router with a record does not consider it dead: during a
+// store outage, leases can expire and records be removed while their routers keep serving. Both
+// sources are read again in each round, so that routers that leave are no longer waited for and new
+// ones are. A router that has applied the revision once counts as confirmed from then on, since
+// routers never return to a lower revision. Without any record the routers are unknown, and the
+// wait continues.
 fleet_wait_result wait_for_fleet(command_context& context, std::uint64_t revision,
                                  decision::duration timeout);
 
--- a/control/src/get_command.cpp
+++ b/control/src/get_command.cpp
@@ -54,7 +54,7 @@
     {
         return {"get",
                 "[KIND [NAME]]",
-                "shows the configuration, and the revision to state with --base",
+                "shows the configuration, and the revision to pass with --base",
                 {"get", "get version", "get team deposits --output json"}};
     }
 
--- a/control/src/help_command.cpp
+++ b/control/src/help_command.cpp
@@ -57,7 +57,7 @@
 public:
     [[nodiscard]] command_usage usage() const override
     {
-        return {"help", "[COMMAND]", "shows the commands, or how one is called", {"help apply"}};
+        return {"help", "[COMMAND]", "shows all commands, or the usage of one", {"help apply"}};
     }
 
     [[nodiscard]] exit_code run(command_context& context) const override
--- a/control/src/input_source.hpp
+++ b/control/src/input_source.hpp
@@ -6,12 +6,12 @@
 
 namespace pearhaven::control {
 
-// Port to what the operator hands in.
+// Port to the operator's input files.
 class input_source {
 public:
     virtual ~input_source() = default;
 
-    // Nothing where the file cannot be read. The name `-` stands for standard input.
+    // Returns nothing when the file cannot be read. The name `-` stands for standard input.
     virtual std::optional<std::string> read(const std::string& file) = 0;
 };
 
--- a/control/src/key_digest_command.cpp
+++ b/control/src/key_digest_command.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The key's first line: a shell's `echo` ends it with a newline that is no part of the key.
+// Returns the first line: a shell's `echo` appends a newline that is not part of the key.
 std::string first_line(const std::string& text)
 {
     return text.substr(0, text.find_first_of("\r\n"));
--- a/control/src/label_command.cpp
+++ b/control/src/label_command.cpp
@@ -9,10 +9,10 @@
 
 using nlohmann::json;
 
-// Labels to set, and (without a value) to take away.
+// Labels to set, and labels to remove (those without a value).
 using label_edits = std::map<std::string, std::optional<std::string>>;
 
-// Nothing when an argument is neither NAME=VALUE nor NAME-, or names a label twice.
+// Returns nothing when an argument is neither NAME=VALUE nor NAME-, or when a label occurs twice.
 std::optional<label_edits> read_edits(const std::vector<std::string>& arguments)
 {
     label_edits edits;
@@ -53,7 +53,7 @@
             "label",
             "KIND NAME LABEL=VALUE... LABEL-... [--wait] [--timeout SECONDS] "
             "[--base REVISION]",
-            "sets labels of an object, or takes them away",
+            "sets or removes labels of an object",
             {"label version adjudicator-2 channel=stable tried-", "label team deposits tier=gold"}};
     }
 
--- a/control/src/object_files.cpp
+++ b/control/src/object_files.cpp
@@ -14,7 +14,7 @@
 using adapters::object_place;
 using coordination::config_object;
 
-// Reads one file after the other and gathers what they hold.
+// Collects the objects and faults of several files.
 class file_reader {
 public:
     void add(const std::string& file, const std::string& text)
@@ -38,7 +38,7 @@
                             std::make_move_iterator(more.end()));
     }
 
-    // Twice in one file is a fault that the parser has found already.
+    // Reports objects that occur in two files. The parser reports duplicates within one file.
     void add(config_object object, const object_place& place)
     {
         const std::string key = object_text(object.kind, object.name);
@@ -54,7 +54,7 @@
     std::map<std::string, object_place> places;
 };
 
-// `apply -f a.yaml b.yaml` means both.
+// Arguments after the flag are files as well: `apply -f a.yaml b.yaml` reads both.
 std::vector<std::string> file_names(const control_settings& settings)
 {
     std::vector<std::string> names = settings.files;
--- a/control/src/object_files.hpp
+++ b/control/src/object_files.hpp
@@ -10,8 +10,8 @@
 
 namespace pearhaven::control {
 
-// The objects of all files named on the command line. Nothing when one of them cannot be read or
-// has a fault, or when two hold the same object: all of that is then said, together.
+// Reads the objects of all files named on the command line. Returns nothing when a file cannot be
+// read or has a fault, or when two files hold the same object; all faults are printed together.
 std::optional<std::vector<coordination::config_object>> read_object_files(command_context& context);
 
 } // namespace pearhaven::control
--- a/control/src/object_lookup.cpp
+++ b/control/src/object_lookup.cpp
@@ -12,7 +12,8 @@
 
 bool check_kind(command_context& context, const std::string& kind)
 {
-    // An empty body has no faults, and the name is one that every kind takes.
+    // An empty body has no faults and the name is valid for every kind, so that a fault can only
+    // come from the kind.
     const auto faults = adapters::check_object({kind, "default", ""});
     for (const auto& fault : faults) {
         context.out.print_diagnostic("KIND: found \"" + kind + "\", allowed " + fault.allowed);
--- a/control/src/object_lookup.hpp
+++ b/control/src/object_lookup.hpp
@@ -13,16 +13,16 @@
 
 namespace pearhaven::control {
 
-// False, and said with the kinds that there are, when there is no such kind.
+// Returns false and prints the known kinds when the kind is unknown.
 bool check_kind(command_context& context, const std::string& kind);
 
-// Null, and said, when there is no such object.
+// Returns null and prints an error when the object does not exist.
 const coordination::config_object* find_object(command_context& context,
                                                const coordination::config_state& state,
                                                const std::string& kind, const std::string& name);
 
-// The object with its body changed by the edit, in canonical form. Nothing, and said, when the
-// stored body cannot be read or the edit left a fault in it.
+// Returns the object with its body changed by the edit, in canonical form. Returns nothing and
+// prints the reason when the stored body cannot be parsed or the edited object has a fault.
 std::optional<coordination::config_object>
 edit_object(command_context& context, const coordination::config_object& object,
             const std::function<void(nlohmann::json&)>& edit);
--- a/control/src/output.hpp
+++ b/control/src/output.hpp
@@ -9,7 +9,7 @@
 
 namespace pearhaven::control {
 
-// Rows of text under a heading, in columns as wide as they need to be.
+// Formats rows of text under a heading, with columns as wide as their widest cell.
 class text_table {
 public:
     explicit text_table(std::vector<std::string> heading);
@@ -23,13 +23,14 @@
 
 enum class output_format { table, json };
 
-// Where a command's results go (standard output), and what it has to say about failures (standard
-// error, always as text). Each result is given in both forms; the operator chooses one.
+// Writes a command's results (standard output) and its diagnostics (standard error, always as
+// text). Commands pass each result as text and as JSON; the operator's setting selects one.
 class output {
 public:
     output(output_format chosen, std::ostream& results, std::ostream& diagnostics);
 
-    // One JSON value a line, so that results which come one by one can be read as they come.
+    // In the JSON format, each value is one line, written at once, so that a reader can process
+    // results that arrive over time, such as those of `watch`.
     void show(const std::string& text, const nlohmann::json& value);
     void print_diagnostic(const std::string& line);
 
--- a/control/src/process_clock.hpp
+++ b/control/src/process_clock.hpp
@@ -8,12 +8,13 @@
 
 namespace pearhaven::control {
 
-// Port to the time. A test's clock sleeps without waiting.
+// Port to the system's clocks. The fake for tests returns from sleep() at once.
 class process_clock {
 public:
     virtual ~process_clock() = default;
     [[nodiscard]] virtual decision::instant now() const = 0; // monotonic
-    [[nodiscard]] virtual std::uint64_t unix_ms() const = 0; // for people only
+    [[nodiscard]] virtual std::uint64_t
+    unix_ms() const = 0; // only for display and records, not for durations
     virtual void sleep(decision::duration time) = 0;
 };
 
--- a/control/src/program.cpp
+++ b/control/src/program.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The program around one command: the real store, routers, files and clock.
+// Connects one command to the real store, routers, files and clock.
 class program {
 public:
     explicit program(const control_settings& chosen)
@@ -64,7 +64,7 @@
     return exit_code::usage;
 }
 
-exit_code run_settings(read_settings_result read)
+exit_code run_requested_command(read_settings_result read)
 {
     if (read.help_wanted || read.command.empty()) {
         auto& arguments = read.settings.arguments;
@@ -82,7 +82,7 @@
 
 int run_program(int argc, char** argv)
 {
-    return static_cast<int>(run_settings(read_settings(argc, argv)));
+    return static_cast<int>(run_requested_command(read_settings(argc, argv)));
 }
 
 } // namespace pearhaven::control
--- a/control/src/recorded_change.hpp
+++ b/control/src/recorded_change.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::control {
 
-// An accepted change as history and watch show it.
+// Formats of an accepted change, used by `history` and `watch`.
 nlohmann::json recorded_change_json(const coordination::config_change& change);
 
 std::vector<std::string> recorded_change_heading();
--- a/control/src/rollout_command.cpp
+++ b/control/src/rollout_command.cpp
@@ -26,7 +26,7 @@
     {
         return {"rollout",
                 "NAME [pause|resume] [--wait] [--timeout SECONDS] [--base REVISION]",
-                "shows a rollout as it is stated, pauses it or lets it go on",
+                "shows the configuration of a rollout, pauses it or resumes it",
                 {"rollout adjudicator", "rollout adjudicator pause --wait"}};
     }
 
--- a/control/src/router_inspector.cpp
+++ b/control/src/router_inspector.cpp
@@ -20,7 +20,7 @@
 constexpr int status_unauthorized = 401;
 constexpr std::size_t max_status_bytes = std::size_t{4} << 20U;
 
-// Asking hundreds of routers at once would need as many connections at once.
+// Bounds the number of open connections when hundreds of routers are queried.
 constexpr std::size_t max_concurrent_queries = 64;
 
 router_status status_with_problem(std::string text)
@@ -80,7 +80,7 @@
     return members;
 }
 
-// Collects answers that come on the HTTP client's thread.
+// Collects statuses from the HTTP client's thread and lets the calling thread wait for all of them.
 class status_collector {
 public:
     status_collector(std::vector<router_status>& all, std::size_t expected)
@@ -124,10 +124,10 @@
     }
     const json page = adapters::parse_shallow_json(answer.body).value;
     if (!is_status_page(page)) {
-        return status_with_problem("answered with something that is no status");
+        return status_with_problem("the response is not a valid status");
     }
     if (page["incarnation"] != expected) {
-        return status_with_problem("its address is now that of router " +
+        return status_with_problem("its address now belongs to router " +
                                    page["incarnation"].get<std::string>());
     }
     router_status status;
--- a/control/src/router_inspector.hpp
+++ b/control/src/router_inspector.hpp
@@ -12,15 +12,15 @@
 
 namespace pearhaven::control {
 
-// What a router says of itself on its operator port.
+// Status that a router reports on its operator port.
 struct router_status {
-    std::string problem; // why there is no answer of that router; the rest is empty then
+    std::string problem; // why there is no valid status; the other members are empty then
     std::uint64_t revision = 0;
     std::optional<std::uint64_t> confirmed_age_ms;
     bool ready = false;
     bool draining = false;
     std::uint64_t in_flight = 0;
-    std::vector<coordination::member> members; // other routers that it does not take for dead
+    std::vector<coordination::member> members; // other routers that it does not consider dead
 
     friend bool operator==(const router_status&, const router_status&) = default;
 };
@@ -30,14 +30,14 @@
 public:
     virtual ~router_inspector() = default;
 
-    // Asks all of them; the answers come in the same order. Takes bounded time.
+    // Queries all routers within bounded time. The statuses are in the order of `routers`.
     virtual std::vector<router_status>
     query_status(const std::vector<coordination::member>& routers) = 0;
 };
 
-// Reads the answer of `GET /v1/status` that was expected of the router `expected`. An answer of
-// another incarnation is a problem: a replacement took over the address, and its revision says
-// nothing of the router that was meant.
+// Parses the response to `GET /v1/status` from the router `expected`. A response of another
+// incarnation is a problem: a replacement has taken over the address, and its revision does not
+// apply to the expected router.
 router_status read_status(const adapters::http_answer& answer,
                           const coordination::incarnation_id& expected);
 
--- a/control/src/settings.cpp
+++ b/control/src/settings.cpp
@@ -8,18 +8,18 @@
 #include <fstream>
 
 DEFINE_string(kv, "http://127.0.0.1:7000", "base URL of the platform's key-value service");
-DEFINE_string(output, "table", "form of the results: table or json");
-DEFINE_string(author, "", "name put into the history of changes; by default the user's name");
+DEFINE_string(output, "table", "format of the results: table or json");
+DEFINE_string(author, "", "name recorded in the history of changes; by default the user's name");
 DEFINE_string(operator_key_file, "",
-              "file with the operator key; else it is taken from PEARHAVENCTL_OPERATOR_KEY");
-DEFINE_uint32(store_timeout_ms, 2000, "longest wait for one answer of the key-value service");
-DEFINE_uint32(router_timeout_ms, 1000, "longest wait for one answer of a router");
-DEFINE_bool(wait, false, "after a change, wait until every live router has it in force");
+              "file with the operator key; without it, PEARHAVENCTL_OPERATOR_KEY is used");
+DEFINE_uint32(store_timeout_ms, 2000, "timeout of one call to the key-value service");
+DEFINE_uint32(router_timeout_ms, 1000, "timeout of one call to a router");
+DEFINE_bool(wait, false, "after a change, wait until every live router has applied it");
 DEFINE_double(timeout, -1,
-              "seconds that --wait waits (default 30) or that watch runs (default: for ever)");
+              "seconds that --wait waits (default 30) or that watch runs (default: no limit)");
 DEFINE_int64(base, -1,
-             "revision that the operator looked at: objects changed after it are a conflict");
-DEFINE_string(team, "", "only this team's bills");
+             "revision that the change is based on: objects changed after it are a conflict");
+DEFINE_string(team, "", "show only this team's bills");
 
 namespace pearhaven::control {
 
@@ -33,7 +33,7 @@
 constexpr const char* environment_prefix = "PEARHAVENCTL";
 constexpr const char* operator_key_variable = "PEARHAVENCTL_OPERATOR_KEY";
 
-// `-f` may be given many times, which gflags does not know.
+// The file flag may be repeated, which gflags does not support, so that it is extracted first.
 struct split_arguments {
     std::vector<char*> others;
     std::vector<std::string> files;
@@ -72,7 +72,7 @@
     return line;
 }
 
-// Turns flags into settings and gathers what is wrong with them.
+// Converts flags into settings and collects their faults.
 class settings_reader {
 public:
     explicit settings_reader(read_settings_result& target) : result(target) {}
--- a/control/src/settings.hpp
+++ b/control/src/settings.hpp
@@ -11,37 +11,38 @@
 
 namespace pearhaven::control {
 
-// One call of the program, as its command line and environment state it.
+// Settings of one call of the program, from its command line and environment.
 struct control_settings {
     std::string kv_url;
     output_format format = output_format::table;
     std::string author;
-    std::string operator_key; // empty: routers cannot be asked
+    std::string operator_key; // empty: routers cannot be queried
     std::chrono::milliseconds store_timeout{};
     std::chrono::milliseconds router_timeout{};
     bool wait = false;
-    std::optional<std::chrono::milliseconds> timeout; // the command's own where there is none
+    std::optional<std::chrono::milliseconds>
+        timeout; // without a value, the command uses its default
     std::optional<std::uint64_t> base;
     std::string team;
     std::vector<std::string> files;
-    std::vector<std::string> arguments; // what follows the command's name
+    std::vector<std::string> arguments; // positional arguments after the command's name
 
     friend bool operator==(const control_settings&, const control_settings&) = default;
 };
 
 struct read_settings_result {
-    std::string command; // empty where none was given
+    std::string command; // empty when none was given
     control_settings settings;
     std::vector<std::string> faults; // one sentence each
     bool help_wanted = false;
 };
 
-// Reads flags, then environment variables PEARHAVENCTL_FLAG for those that are not given. The
-// operator key comes from a file or from PEARHAVENCTL_OPERATOR_KEY, never from the command line,
-// which every user of the machine can see.
+// Reads the flags, and the environment variable PEARHAVENCTL_FLAG for each flag that is not given.
+// The operator key is read from a file or from PEARHAVENCTL_OPERATOR_KEY, never from the command
+// line, which every user of the host can see.
 read_settings_result read_settings(int argc, char** argv);
 
-// The flags, one a line.
+// Returns the descriptions of all flags, one per line.
 std::string describe_settings();
 
 } // namespace pearhaven::control
--- a/control/src/status_command.cpp
+++ b/control/src/status_command.cpp
@@ -61,7 +61,7 @@
     return value;
 }
 
-// The routers in both forms.
+// The routers' statuses as a table and as JSON.
 struct status_report {
     text_table table{{"ROUTER", "ADDRESS", "ZONE", "RECORD", "REVISION", "AGE_MS", "READY",
                       "DRAINING", "IN_FLIGHT", "PROBLEM"}};
@@ -85,7 +85,7 @@
     {
         return {"status",
                 "",
-                "shows the configuration's revision and what each live router says of itself",
+                "shows the configuration's revision and the status of each live router",
                 {"status", "status --output json"}};
     }
 
@@ -96,7 +96,7 @@
         }
         if (context.settings.operator_key.empty()) {
             context.out.print_diagnostic(
-                "the routers answer only to the operator key: found none, allowed "
+                "querying the routers needs the operator key: found none, allowed "
                 "is --operator_key_file or PEARHAVENCTL_OPERATOR_KEY");
             return exit_code::usage;
         }
--- a/control/src/watch_command.cpp
+++ b/control/src/watch_command.cpp
@@ -12,7 +12,7 @@
 constexpr decision::duration max_watch_duration = std::chrono::seconds{10};
 constexpr decision::duration outage_retry_delay = std::chrono::seconds{1};
 
-// Follows the head and shows each change once, in order.
+// Watches the configuration head and shows each change once, in order.
 class change_follower {
 public:
     explicit change_follower(command_context& current_context) : context(current_context) {}
@@ -51,7 +51,7 @@
         this->context.clock.sleep(std::min(wait, outage_retry_delay));
     }
 
-    // Nothing when the time is up.
+    // Returns nothing when the timeout has passed.
     [[nodiscard]] std::optional<decision::duration> time_left() const
     {
         if (!this->context.settings.timeout) {
@@ -65,13 +65,13 @@
         return std::min(max_watch_duration, end - now);
     }
 
-    // Said once each way, not at each try.
+    // Prints a diagnostic only when the reachability changes, not at each retry.
     void report_reachability(bool now_reachable)
     {
         if (now_reachable != this->reachable) {
             this->context.out.print_diagnostic(
-                now_reachable ? "the key-value service answers again"
-                              : "the key-value service cannot be reached; going on trying");
+                now_reachable ? "the key-value service is reachable again"
+                              : "the key-value service cannot be reached; retrying");
         }
         this->reachable = now_reachable;
     }
--- a/control/test/commands_test.cpp
+++ b/control/test/commands_test.cpp
@@ -15,8 +15,8 @@
 const std::string two_versions = "kind: version\nname: m-1\nspec: {model: m}\n---\n"
                                  "kind: version\nname: m-2\nspec: {model: m}\n";
 
-// Loads the table of kinds and what yaml-cpp caches before the first test, which would otherwise
-// seem to leak them.
+// Initializes the table of kinds and the caches of yaml-cpp before the first test, where CppUTest
+// would report them as a leak.
 exit_code warm_up()
 {
     fake_store store;
@@ -104,9 +104,9 @@
 
 TEST(commands_test, concurrent_changes_of_one_object_conflict)
 {
-    // Ama's command has read the configuration and is about to write. Efua's change of the same
-    // team is accepted in between. Ama's must not overwrite what she never saw: she is told who,
-    // when, which object, and both values, and nothing is changed.
+    // Efua's change of the same team is accepted between the read and the write of Ama's command.
+    // Ama's change must not overwrite it: it is rejected with the author, time, object and both
+    // values.
     ama.apply(team_a);
     store.before_swap = [this] { this->efua.apply(team_a_heavy); };
     CHECK_EXIT_CODE(exit_code::conflict, ama.apply("kind: team\nname: a\nspec: {weight: 3}\n"));
@@ -114,7 +114,7 @@
         std::string("conflict: team/a was changed by efua at 2026-03-12 18:04:05Z, in revision 2, "
                     "after revision 1 that this change is based on\n"
                     "  spec.weight: theirs 5.0, yours 3.0\n"
-                    "Nothing was changed. Look at the objects (pearhavenctl get), and give the "
+                    "Nothing was changed. Check the objects (pearhavenctl get) and run the "
                     "command again.\n"),
         ama.diagnostics());
     ama.run({"get", "team", "a"});
@@ -131,8 +131,8 @@
 
 TEST(commands_test, conflicts_are_detected_against_the_base_revision)
 {
-    // Ama looked at revision 1 and went to edit her file. Efua's change came meanwhile, so that
-    // Ama's command reads it and would take it for what Ama knew; --base says what she knew.
+    // Ama edits a file based on revision 1 while Efua's change is accepted. Ama's command reads the
+    // configuration after Efua's change and can detect the conflict only by --base.
     ama.apply(team_a);
     efua.apply(team_a_heavy);
     ama.settings.base = 1;
@@ -158,7 +158,8 @@
 
 TEST(commands_test, a_lost_write_reply_is_resolved_before_the_command_returns)
 {
-    // The swap took effect, its reply was lost. The operator sees an accepted change, once.
+    // The swap succeeds but its reply is lost. The change must be reported as accepted and must not
+    // be written twice.
     store.on_lost_reply = [] {};
     CHECK_EXIT_CODE(exit_code::ok, ama.apply(team_a));
     CHECK_CONTAINS("accepted as revision 1", ama.results());
@@ -167,8 +168,8 @@
 
 TEST(commands_test, a_lost_write_reply_is_resolved_after_a_later_change)
 {
-    // Ama's swap took effect and its reply was lost; then Efua changed the same team. Ama's change
-    // was accepted, and is neither a conflict nor written again over Efua's.
+    // Ama's swap succeeds but its reply is lost, and Efua then changes the same team. Ama's change
+    // was accepted: it must not be reported as a conflict or overwrite Efua's change.
     store.on_lost_reply = [this] { this->efua.apply(team_a_heavy); };
     CHECK_EXIT_CODE(exit_code::ok, ama.apply(team_a));
     CHECK_CONTAINS("accepted as revision 1", ama.results());
@@ -199,9 +200,9 @@
 
 TEST(commands_test, dangling_references_from_concurrent_changes_are_reported)
 {
-    // Efua deletes a version while Ama names it in a rollout. Each was right when its author
-    // looked, and they touch different objects, so both are accepted. Ama, who came second, is
-    // warned.
+    // Efua deletes a version while Ama's change refers to it in a rollout. Both are valid against
+    // the configuration that they read and change different objects, so both are accepted. The
+    // later command, Ama's, prints a warning.
     ama.apply(two_versions);
     store.before_swap = [this] { this->efua.run({"delete", "version", "m-2"}); };
     CHECK_EXIT_CODE(exit_code::ok, ama.apply("kind: rollout\nname: m\n"
@@ -293,7 +294,7 @@
 
 TEST(commands_test, a_configuration_stored_in_pages_is_read_completely)
 {
-    // The head holds a bounded number of changes; older ones live in the snapshot's pages only.
+    // The head holds a bounded number of changes; older ones are only in the snapshot's pages.
     for (int number = 0; number < 140; ++number) {
         ama.apply("kind: team\nname: t" + std::to_string(number) + "\n");
     }
@@ -306,8 +307,9 @@
 
 TEST(commands_test, a_snapshot_replaced_during_a_read_is_read_again)
 {
-    // The command has read the head. Before it reads the head's page, another's write folds the
-    // snapshot into a new page, and the old one is removed. The operator sees the newer state.
+    // After the command has read the head, a concurrent write compacts the snapshot into a new page
+    // and removes the page that the command is about to read. The command must show the newer
+    // state.
     for (int number = 0; number < 140; ++number) {
         ama.apply("kind: team\nname: t" + std::to_string(number) + "\n");
     }
@@ -348,8 +350,8 @@
         CHECK_CONTAINS(object, line);
     }
     CHECK_FALSE(std::getline(lines, line));
-    CHECK_EQUAL(std::string("the key-value service cannot be reached; going on trying\n"
-                            "the key-value service answers again\n"),
+    CHECK_EQUAL(std::string("the key-value service cannot be reached; retrying\n"
+                            "the key-value service is reachable again\n"),
                 ama.diagnostics());
 }
 
--- a/control/test/fakes.cpp
+++ b/control/test/fakes.cpp
@@ -85,24 +85,24 @@
     output out(this->settings.format, results, diagnostics);
     command_context context{this->settings, configuration, this->routers,
                             this->input,    this->clock,   out};
-    exit_code end = exit_code::usage;
+    exit_code exit_status = exit_code::usage;
     for (const auto& each : make_commands()) {
         if (each->usage().name == words[0]) {
-            end = each->run(context);
+            exit_status = each->run(context);
         }
     }
     this->result_text = results.str();
     this->diagnostic_text = diagnostics.str();
-    return end;
+    return exit_status;
 }
 
 exit_code fake_operator::apply(const std::string& yaml)
 {
     this->input.files["a.yaml"] = yaml;
     this->settings.files = {"a.yaml"};
-    const exit_code end = this->run({"apply"});
+    const exit_code exit_status = this->run({"apply"});
     this->settings.files.clear();
-    return end;
+    return exit_status;
 }
 
 void register_router(fake_store& store, const std::string& id)
--- a/control/test/fakes.hpp
+++ b/control/test/fakes.hpp
@@ -13,7 +13,7 @@
 
 namespace pearhaven::control::test {
 
-// A key-value service in memory, with the failures that the tests call for.
+// In-memory key-value service with failure injection.
 class fake_store : public coordination::key_value_store {
 public:
     void submit(const coordination::kv_request& request, completion done) override
@@ -21,7 +21,7 @@
         done(this->down ? coordination::kv_reply{} : this->answer(request));
     }
 
-    // Puts the value there, whatever was there before.
+    // Writes the value unconditionally.
     void put(const std::string& key, const std::string& value)
     {
         this->entries[key] = {key, value, ++this->revision};
@@ -30,8 +30,8 @@
     std::map<std::string, coordination::kv_entry> entries;
     coordination::store_revision revision = 0;
     bool down = false;
-    int swaps = 0;                     // that took effect
-    std::function<void()> before_swap; // called once, before the next swap is looked at
+    int swaps = 0;                     // successful ones
+    std::function<void()> before_swap; // called once, before the next swap is evaluated
     std::function<void()>
         on_lost_reply; // called once, after the next swap, whose reply is then lost
     std::function<void()> on_watch;
@@ -43,7 +43,7 @@
     coordination::kv_reply answer_swap(const coordination::kv_compare_and_swap& swap);
 };
 
-// A clock that sleeps at once, and lets a test act as time goes by.
+// A clock whose sleep() advances the time without waiting and calls a hook of the test.
 class fake_clock : public process_clock {
 public:
     [[nodiscard]] decision::instant now() const override { return this->time; }
@@ -88,7 +88,7 @@
     std::map<std::string, std::string> files;
 };
 
-// One operator at a terminal, beside the store and the routers that all operators share.
+// One operator who runs commands. The store is shared by all operators of a test.
 class fake_operator {
 public:
     fake_operator(fake_store& shared, std::string name);
@@ -96,11 +96,11 @@
     // Runs a command: {"apply"}, {"label", "team", "a", "x=y"}.
     exit_code run(const std::vector<std::string>& words);
 
-    // What the last command wrote.
+    // Output of the last command.
     [[nodiscard]] std::string results() const { return this->result_text; }
     [[nodiscard]] std::string diagnostics() const { return this->diagnostic_text; }
 
-    // Applies a text, as from a file.
+    // Runs `apply` with a file of this text.
     exit_code apply(const std::string& yaml);
 
     control_settings settings;
--- a/control/test/fleet_wait_test.cpp
+++ b/control/test/fleet_wait_test.cpp
@@ -66,8 +66,8 @@
 
 TEST(fleet_wait_test, a_router_whose_record_expires_is_no_longer_waited_for)
 {
-    // A router dies while the operator waits. It never answers, and its record goes with its lease.
-    // The operator sees the change in force, not a failure for a router that is no more.
+    // A router crashes during the wait: it never answers, and its record is removed when its lease
+    // expires. The wait must succeed and not fail because of a router that no longer exists.
     ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", unanswered()}};
     ama.clock.on_sleep = [this] { this->store.entries.erase("routers/i2"); };
     CHECK_TRUE(apply() == exit_code::ok);
@@ -76,8 +76,8 @@
 
 TEST(fleet_wait_test, a_router_that_registers_during_the_wait_is_waited_for)
 {
-    // A replacement starts while the operator waits for another router. It must have the change too
-    // before the operator is told that it is in force everywhere.
+    // A replacement starts while the operator waits for another router. It must have applied the
+    // change too before the change is reported as in force everywhere.
     ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", at_revision(0)}, {"i3", at_revision(0)}};
     ama.clock.on_sleep = [this] {
         register_router(this->store, "i3");
@@ -112,14 +112,15 @@
 
 TEST(fleet_wait_test, a_router_without_a_record_is_waited_for_while_others_consider_it_live)
 {
-    // An outage of the store outlasted the leases: the records went, and only i1 and i2 have
-    // registered again when the operator withdraws a version. i3 serves on under the old
-    // configuration, and the operator must not be told that the change is in force everywhere.
-    auto knows_i3 = at_revision(1);
-    knows_i3.members.resize(1);
-    knows_i3.members[0].id = "i3";
-    knows_i3.members[0].host = "10.0.0.3";
-    ama.routers.statuses = {{"i1", knows_i3}, {"i2", at_revision(1)}, {"i3", at_revision(0)}};
+    // A store outage outlasts the leases, so that all records are removed, and only i1 and i2 have
+    // registered again when the operator makes a change. i3 still serves with the old
+    // configuration: the change must not be reported as in force everywhere.
+    auto status_listing_i3 = at_revision(1);
+    status_listing_i3.members.resize(1);
+    status_listing_i3.members[0].id = "i3";
+    status_listing_i3.members[0].host = "10.0.0.3";
+    ama.routers.statuses = {
+        {"i1", status_listing_i3}, {"i2", at_revision(1)}, {"i3", at_revision(0)}};
     CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
     CHECK_TRUE(ama.diagnostics().find("router i3 (10.0.0.3") != std::string::npos);
     ama.clock.on_sleep = [this] { this->ama.routers.statuses["i1"] = at_revision(1); };
@@ -128,7 +129,8 @@
 
 TEST(fleet_wait_test, without_any_record_a_change_is_not_confirmed)
 {
-    // The same outage, and no router has registered again yet: there is nobody to ask.
+    // After a store outage that outlasts the leases, no router has registered again yet. With no
+    // router to query, the change must not be reported as in force.
     store.entries.clear();
     CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
     CHECK_TRUE(ama.diagnostics().find("no router has a record") != std::string::npos);
@@ -136,8 +138,8 @@
 
 TEST(fleet_wait_test, an_unchanged_configuration_is_waited_for)
 {
-    // The first command gave up waiting, or its outcome was unknown; giving it again must tell
-    // whether what is accepted is in force by now.
+    // The first command timed out, or its outcome was unknown. Running it again must report whether
+    // the accepted change is in force by now.
     ama.routers.statuses = {{"i1", at_revision(1)}, {"i2", at_revision(0)}};
     CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
     CHECK_TRUE(apply() == exit_code::not_applied_everywhere);
@@ -163,10 +165,11 @@
 
 TEST(fleet_wait_test, status_shows_routers_that_do_not_answer_or_have_no_record)
 {
-    auto knows_i3 = at_revision(0);
-    knows_i3.members.resize(1);
-    knows_i3.members[0].id = "i3";
-    ama.routers.statuses = {{"i1", knows_i3}, {"i2", unanswered()}, {"i3", at_revision(0)}};
+    auto status_listing_i3 = at_revision(0);
+    status_listing_i3.members.resize(1);
+    status_listing_i3.members[0].id = "i3";
+    ama.routers.statuses = {
+        {"i1", status_listing_i3}, {"i2", unanswered()}, {"i3", at_revision(0)}};
     ama.settings.format = output_format::json;
     CHECK_TRUE(ama.run({"status"}) == exit_code::failed);
     const auto routers = nlohmann::json::parse(ama.results())["routers"];
--- a/control/test/parser_fuzz_test.cpp
+++ b/control/test/parser_fuzz_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// What the router that is called i1 says of itself.
+// Status pages of the router i1.
 const std::vector<std::string> status_pages = {
     R"({"incarnation":"i1","revision":7,"ready":true,"draining":false,"in_flight":3,
         "confirmed_age_ms":40,"members":[{"incarnation":"i2","zone":"osu","host":"10.0.0.2",
@@ -35,7 +35,7 @@
     return read_status(answer, "i1");
 }
 
-// Lists within lists, deeper than a stack holds of most functions.
+// Nested deeply enough to overflow the stack of a recursive function.
 std::string deeply_nested_list()
 {
     constexpr std::size_t depth = 200'000;
@@ -44,9 +44,8 @@
 
 } // namespace
 
-// What an operator's command reads comes from routers of other versions, and from a store that
-// others write to. A parser that crashes leaves the operator without any answer, when it is most
-// needed.
+// Commands read data from routers of other versions and from a store that other programs write to.
+// A parser that crashes on it leaves the operator without a result during an incident.
 TEST_GROUP(control_parser_fuzz){};
 
 TEST(control_parser_fuzz, status_pages_of_routers)
@@ -60,7 +59,7 @@
             only_problem.problem = read.problem;
             const bool ports_unchanged =
                 std::all_of(read.members.begin(), read.members.end(), [&](const auto& member) {
-                    // A port is as it was said, not what is left of a larger number.
+                    // The port must occur in the input: a larger number must not be truncated.
                     return bytes.find(std::to_string(member.operator_port)) != std::string::npos;
                 });
             return ports_unchanged && (read.problem.empty() || read == only_problem);
@@ -83,8 +82,8 @@
     CHECK_EQUAL(std::string(), wrong);
 }
 
-// A body that is whole JSON and nested without reason: each value within the other is copied and
-// printed by a call within a call, until the stack ends and with it the command.
+// A body of valid JSON that is nested very deeply: copying and printing it recurse once per level
+// and would overflow the stack.
 TEST(control_parser_fuzz, a_deeply_nested_body_is_shown_as_text)
 {
     const auto body = R"({"spec":{"weight":)" + deeply_nested_list() + "}}";
@@ -100,5 +99,5 @@
     const auto page = R"({"incarnation":"i1","revision":7,"ready":true,"draining":false,)"
                       R"("in_flight":3,"members":)" +
                       deeply_nested_list() + "}";
-    CHECK_EQUAL(std::string("answered with something that is no status"), status_of(page).problem);
+    CHECK_EQUAL(std::string("the response is not a valid status"), status_of(page).problem);
 }
--- a/control/test/router_inspector_test.cpp
+++ b/control/test/router_inspector_test.cpp
@@ -41,9 +41,10 @@
 
 TEST(router_inspector_test, a_status_page_of_another_incarnation_is_a_problem)
 {
-    // A router was replaced on the same address while its record still stands. Its successor's high
-    // revision would let a wait end while the old one, paused, still runs the old configuration.
-    CHECK_EQUAL(std::string("its address is now that of router i1"),
+    // A router is replaced at the same address while its record still exists. The replacement's
+    // higher revision must not end a wait while the old router, paused, still has the old
+    // configuration.
+    CHECK_EQUAL(std::string("its address now belongs to router i1"),
                 read_status(answer(200, page), "i0").problem);
 }
 
@@ -57,12 +58,12 @@
     CHECK_EQUAL(std::string("answered with status 500"),
                 read_status(answer(500, ""), "i1").problem);
     for (const char* body : {"", "[]", "{}", R"({"incarnation":"i1","revision":-1})"}) {
-        CHECK_EQUAL(std::string("answered with something that is no status"),
+        CHECK_EQUAL(std::string("the response is not a valid status"),
                     read_status(answer(200, body), "i1").problem);
     }
 }
 
-// Cut down to sixteen bits, it would be the port of somebody else.
+// Truncated to 16 bits, the number would be the port of another process.
 TEST(router_inspector_test, a_member_with_a_port_out_of_range_is_ignored)
 {
     for (const auto* const port : {"0", "65536", "65541", "18446744073709551615", "-1", "5.5"}) {
