--- a/control/src/configuration_store.hpp
+++ b/control/src/configuration_store.hpp
@@ -22,8 +22,7 @@
     std::error_code error;
     coordination::config_head head;
     coordination::config_state_ptr state;
-    coordination::store_revision head_store_revision =
-        0; // store revision of the head entry, for `watch`
+    coordination::store_revision head_store_revision = 0; // to wait for the next head, see `watch`
 };
 
 struct loaded_members {
--- a/control/src/process_clock.hpp
+++ b/control/src/process_clock.hpp
@@ -13,8 +13,7 @@
 public:
     virtual ~process_clock() = default;
     [[nodiscard]] virtual decision::instant now() const = 0; // monotonic
-    [[nodiscard]] virtual std::uint64_t
-    unix_ms() const = 0; // only for display and records, not for durations
+    [[nodiscard]] virtual std::uint64_t unix_ms() const = 0; // for display and records only
     virtual void sleep(decision::duration time) = 0;
 };
 
--- a/control/src/settings.hpp
+++ b/control/src/settings.hpp
@@ -20,8 +20,7 @@
     std::chrono::milliseconds store_timeout{};
     std::chrono::milliseconds router_timeout{};
     bool wait = false;
-    std::optional<std::chrono::milliseconds>
-        timeout; // without a value, the command uses its default
+    std::optional<std::chrono::milliseconds> timeout; // absent: the command's default applies
     std::optional<std::uint64_t> base;
     std::string team;
     std::vector<std::string> files;
