--- a/control/test/fakes.hpp
+++ b/control/test/fakes.hpp
@@ -30,10 +30,9 @@
     std::map<std::string, coordination::kv_entry> entries;
     coordination::store_revision revision = 0;
     bool down = false;
-    int swaps = 0;                     // successful ones
-    std::function<void()> before_swap; // called once, before the next swap is evaluated
-    std::function<void()>
-        on_lost_reply; // called once, after the next swap, whose reply is then lost
+    int swaps = 0;                       // successful ones
+    std::function<void()> before_swap;   // called once, before the next swap is evaluated
+    std::function<void()> on_lost_reply; // called once, after the next swap; loses its reply
     std::function<void()> on_watch;
     std::function<void(const std::string& key)> before_get;
 
