--- a/control/src/apply_command.cpp
+++ b/control/src/apply_command.cpp
@@ -11,21 +11,22 @@
     {
         return {"apply",
                 "-f FILE... [--wait] [--timeout SECONDS] [--base REVISION]",
-                "makes the objects in the files the configuration, as one change",
+                "creates or updates the objects in the files, as one change",
                 {"apply -f teams.yaml -f pools.yaml --wait", "apply -f - --base 41 < teams.yaml"}};
     }
 
     [[nodiscard]] exit_code run(command_context& context) const override
     {
         if (context.settings.files.empty()) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto wanted = read_object_files(context);
-        if (!wanted || !may_change(context)) {
+        if (!wanted || !has_valid_wait_settings(context)) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
-        return seen.error ? refuse(context, seen.error) : make_change(context, seen, *wanted);
+        return seen.error ? report_error(context, seen.error)
+                          : submit_change(context, seen, *wanted);
     }
 };
 
--- a/control/src/label_command.cpp
+++ b/control/src/label_command.cpp
@@ -9,23 +9,24 @@
 
 using nlohmann::json;
 
-// Labels to set, and (without a value) to take away.
+// Labels to set, and labels to remove (those without a value).
 using label_edits = std::map<std::string, std::optional<std::string>>;
 
-// Nothing when an argument is neither NAME=VALUE nor NAME-, or names a label twice.
+// Returns nothing when an argument is neither NAME=VALUE nor NAME-, or when a label occurs twice.
 std::optional<label_edits> read_edits(const std::vector<std::string>& arguments)
 {
     label_edits edits;
     for (std::size_t index = 2; index < arguments.size(); ++index) {
         const std::string& argument = arguments[index];
         const auto equals = argument.find('=');
-        bool fresh = false;
+        bool inserted = false;
         if (equals != std::string::npos && equals > 0) {
-            fresh = edits.emplace(argument.substr(0, equals), argument.substr(equals + 1)).second;
+            inserted =
+                edits.emplace(argument.substr(0, equals), argument.substr(equals + 1)).second;
         } else if (argument.size() > 1 && argument.back() == '-') {
-            fresh = edits.emplace(argument.substr(0, argument.size() - 1), std::nullopt).second;
+            inserted = edits.emplace(argument.substr(0, argument.size() - 1), std::nullopt).second;
         }
-        if (!fresh) {
+        if (!inserted) {
             return std::nullopt;
         }
     }
@@ -52,7 +53,7 @@
             "label",
             "KIND NAME LABEL=VALUE... LABEL-... [--wait] [--timeout SECONDS] "
             "[--base REVISION]",
-            "sets labels of an object, or takes them away",
+            "sets or removes labels of an object",
             {"label version adjudicator-2 channel=stable tried-", "label team deposits tier=gold"}};
     }
 
@@ -60,18 +61,18 @@
     {
         const auto& arguments = context.settings.arguments;
         if (arguments.size() < 3) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
         const auto edits = read_edits(arguments);
         if (!edits) {
-            return refuse_usage(*this, context);
+            return report_usage(*this, context);
         }
-        if (!is_kind(context, arguments[0]) || !may_change(context)) {
+        if (!check_kind(context, arguments[0]) || !has_valid_wait_settings(context)) {
             return exit_code::usage;
         }
         const auto seen = context.store.load();
         if (seen.error) {
-            return refuse(context, seen.error);
+            return report_error(context, seen.error);
         }
         const auto* const found = find_object(context, *seen.state, arguments[0], arguments[1]);
         if (found == nullptr) {
@@ -79,7 +80,7 @@
         }
         const auto edited =
             edit_object(context, *found, [&edits](json& body) { edit_labels(body, *edits); });
-        return edited ? make_change(context, seen, {*edited}) : exit_code::usage;
+        return edited ? submit_change(context, seen, {*edited}) : exit_code::usage;
     }
 };
 
--- a/control/src/object_files.cpp
+++ b/control/src/object_files.cpp
@@ -14,7 +14,7 @@
 using adapters::object_location;
 using coordination::config_object;
 
-// Reads one file after the other and gathers what they hold.
+// Collects the objects and faults of several files.
 class file_reader {
 public:
     void add(const std::string& file, const std::string& text)
@@ -38,12 +38,12 @@
                             std::make_move_iterator(more.end()));
     }
 
-    // Twice in one file is a fault that the parser has found already.
+    // Reports objects that occur in two files. The parser reports duplicates within one file.
     void add(config_object object, const object_location& place)
     {
         const std::string key = object_text(object.kind, object.name);
-        const auto [first, fresh] = this->places.emplace(key, place);
-        if (!fresh && first->second.file != place.file) {
+        const auto [first, inserted] = this->places.emplace(key, place);
+        if (!inserted && first->second.file != place.file) {
             this->faults.push_back({place.file, place.line, "name", key + " a second time",
                                     "each object once (this one is also at " + first->second.file +
                                         ":" + std::to_string(first->second.line) + ")"});
@@ -54,7 +54,7 @@
     std::map<std::string, object_location> places;
 };
 
-// `apply -f a.yaml b.yaml` means both.
+// Arguments after the flag are files as well: `apply -f a.yaml b.yaml` reads both.
 std::vector<std::string> file_names(const control_settings& settings)
 {
     std::vector<std::string> names = settings.files;
@@ -76,7 +76,7 @@
         }
     }
     for (const auto& fault : reader.faults) {
-        context.out.complain(adapters::to_string(fault));
+        context.out.print_diagnostic(adapters::to_string(fault));
     }
     if (!reader.faults.empty()) {
         return std::nullopt;
--- a/control/src/program.cpp
+++ b/control/src/program.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The program around one command: the real store, routers, files and clock.
+// Connects one command to the real store, routers, files and clock.
 class program {
 public:
     explicit program(const control_settings& chosen)
@@ -44,7 +44,7 @@
     output out;
 };
 
-exit_code refuse_settings(const read_settings_result& read)
+exit_code report_faults(const read_settings_result& read)
 {
     for (const auto& fault : read.faults) {
         std::cerr << fault << "\n";
@@ -64,7 +64,7 @@
     return exit_code::usage;
 }
 
-exit_code run_settings(read_settings_result read)
+exit_code run_requested_command(read_settings_result read)
 {
     if (read.help_requested || read.command.empty()) {
         auto& arguments = read.settings.arguments;
@@ -75,14 +75,14 @@
         const exit_code shown = run_command(read, "help");
         return read.help_requested ? shown : exit_code::usage;
     }
-    return read.faults.empty() ? run_command(read, read.command) : refuse_settings(read);
+    return read.faults.empty() ? run_command(read, read.command) : report_faults(read);
 }
 
 } // namespace
 
 int run_program(int argc, char** argv)
 {
-    return static_cast<int>(run_settings(read_settings(argc, argv)));
+    return static_cast<int>(run_requested_command(read_settings(argc, argv)));
 }
 
 } // namespace pearhaven::control
