--- a/tests/integration/bills_test.cpp
+++ b/tests/integration/bills_test.cpp
@@ -174,8 +174,8 @@
 }
 
 // As before, but the write has taken effect and only its reply is late when the router is killed.
-// The caller has seen no end and sends the request to another router, which bills it again: there
-// are two bills on two pages, and operators see one.
+// The caller has not received the end and sends the request to another router, which bills it
+// again: there are two bills on two pages, and operators must see one.
 TEST(bills_test, a_router_killed_after_its_bill_was_written_and_before_the_end_leaves_one_bill)
 {
     const auto request = request_with("after-the-bill");
@@ -197,8 +197,9 @@
     LONGS_EQUAL(1, this->fleet->bills().size());
 }
 
-// The caller has its whole answer, and its router is killed at that moment. The bill must stand
-// already. A caller that lost the answer sends the request once more: a second run, the same bill.
+// The router is killed at the moment at which its caller has the complete answer. The bill must
+// already be stored. A caller that lost the answer sends the request again: a second run, the same
+// bill.
 TEST(bills_test, a_router_killed_right_after_the_end_leaves_one_bill)
 {
     const auto request = request_with("after-the-end");
@@ -210,8 +211,8 @@
     this->check_bills();
 }
 
-// Writes of bills take effect, but their replies are lost, again and again, while callers keep
-// every router busy. Each answer ends, and each request stands in the bills once.
+// Writes of bills take effect, but their replies are lost repeatedly while callers keep every
+// router busy. Each answer must end, and each request must be billed exactly once.
 TEST(bills_test, lost_replies_to_bill_writes_lose_and_double_nothing)
 {
     constexpr int enough = 10;
@@ -236,8 +237,9 @@
     this->check_bills();
 }
 
-// The store goes out for much longer than answers take, with callers on every router. Answers go on
-// to end, since two peers hold each bill; when the store is back every whole answer is billed.
+// The store is unavailable for much longer than answers take, with callers on every router. Answers
+// must still be completed, since two peers hold each bill; when the store is back every complete
+// answer must be billed.
 TEST(bills_test, answers_end_during_an_outage_and_are_billed_after_it)
 {
     this->tell_store({{"outage", true}});
@@ -261,14 +263,15 @@
     }
     this->tell_store({{"outage", false}});
     for (const auto& count : ended) {
-        // One answer a second from each router would show that answers go on to end.
+        // One answer a second from each router shows that answers are still completed.
         CHECK_TRUE_TEXT(count >= outage_length().count(), std::to_string(count).c_str());
     }
     this->check_bills();
 }
 
-// A router ends answers while the store is out, and is killed before the store is back: its own
-// bills are gone with it. The peers that hold copies find it dead and write them.
+// A router completes answers while the store is unavailable, and is killed before the store is
+// back, so that its own bills are lost. The peers that hold copies must detect its failure and
+// write them.
 TEST(bills_test, bills_of_a_router_killed_during_an_outage_are_written_by_its_peers)
 {
     this->tell_store({{"outage", true}});
--- a/tests/integration/configuration_test.cpp
+++ b/tests/integration/configuration_test.cpp
@@ -24,7 +24,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
 
-// Callers that go on asking through every router until they are stopped.
+// Callers that keep sending requests through every router until they are stopped.
 class steady_callers {
 public:
     steady_callers(test_fleet& fleet, const chat_request& request, std::size_t count)
@@ -112,8 +112,9 @@
     }
 };
 
-// Callers keep every router busy with both versions when an operator withdraws one. From the moment
-// that `--wait` returns no engine starts a run of it, whatever was queued or being retried then.
+// Callers keep every router busy with both versions when an operator withdraws one. After `--wait`
+// has returned, no engine may start a run of it, even for requests that were queued or being
+// retried at that moment.
 TEST(configuration_test, a_withdrawn_version_gets_nothing_from_the_moment_that_wait_returns)
 {
     test_fleet::plan plan;
@@ -132,8 +133,9 @@
 }
 
 // A router is paused, the version is withdrawn, and the command returns once the paused router's
-// membership has lapsed. Requests wait in the paused router's sockets. When it wakes it still
-// believes the version allowed; it must find that its knowledge is stale before it starts anything.
+// membership has expired. Requests wait in the paused router's sockets. When it resumes, its
+// configuration still allows the version; it must detect that this configuration is stale before it
+// starts any run.
 TEST(configuration_test, a_router_that_wakes_from_a_pause_does_not_start_a_withdrawn_version)
 {
     this->start({});
@@ -158,8 +160,8 @@
     LONGS_EQUAL(0, this->runs_after("adjudicator-2", moment));
 }
 
-// The store goes out, and a router is replaced meanwhile. The new one cannot read the store; it
-// takes the configuration from its peers, and no router ever shows a lower revision than before.
+// A router is replaced while the store is unavailable. The new one cannot read the store and must
+// take the configuration from its peers; no router may ever show a lower revision than before.
 TEST(configuration_test,
      a_router_that_starts_during_an_outage_takes_the_configuration_from_its_peers)
 {
@@ -184,9 +186,9 @@
         eventually([&] { return this->fleet->ask(3, request).is_whole_answer_to(request); }));
 }
 
-// Two operators change different objects again and again, and every third reply of the store is
-// lost. Each command that says `accepted` stands in the history exactly once, with a revision of
-// its own, and each router's revision only rises.
+// Two operators keep changing different objects while every third reply of the store is lost. Each
+// command that prints `accepted` must be in the history exactly once, with a revision of its own,
+// and each router's revision must only rise.
 TEST(configuration_test, racing_operators_with_lost_replies_leave_one_total_order)
 {
     this->start({});
@@ -242,8 +244,8 @@
     CHECK_FALSE(history.empty());
 }
 
-// One router loses its link to the store while the others keep theirs. It goes on, by its peers,
-// and has each change within the 5 s that users were promised.
+// One router loses its connection to the store while the others keep theirs. It must continue by
+// means of its peers, and receive each change within the 5 s that users were promised.
 TEST(configuration_test, a_router_without_the_store_has_each_change_from_its_peers)
 {
     test_fleet::plan plan;
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -26,19 +26,20 @@
 constexpr std::size_t workers = 8;
 constexpr std::size_t routers = 3;
 
-// A claim is given up after 2 s; the rest is for a busy machine.
+// A router gives up a claim after 2 s; the rest is slack for a busy machine.
 constexpr std::chrono::seconds refusal_bound{10};
 
-// From the loss of a claim's holder to its end: its death is found, and it is missed for 10 s.
+// Time from the loss of a claim's holder to the end of the claim: detection of the failure, then 10
+// s of absence.
 constexpr std::chrono::seconds holder_timeout{60};
 
-// A step of the engines then takes 1 s.
+// Each step of the engines then takes 1 s.
 constexpr double standstill = 500;
 
-// A write is taken for lost, and made again, before its reply comes.
+// After this time without a reply a write is considered lost and retried.
 constexpr int late_reply_ms = 900;
 
-// Requests that race in all tests of this file together.
+// Total number of racing requests in all tests of this file.
 std::size_t racing_requests()
 {
     const char* stated = std::getenv("PEARHAVEN_RACES");
@@ -121,19 +122,20 @@
         return found.contains("entries");
     }
 
-    // Sends the request to a router whose claim gets its reply late, and waits until the claim
-    // stands.
+    // Sends the request to a router that receives the reply to its claim late, and waits until the
+    // claim is stored.
     std::unique_ptr<chat_call> claim_only(std::size_t router, const std::string& key)
     {
         auto call = this->fleet->call(router, once(key));
-        // A look that came too early would be answered late as well.
+        // A read of the store that comes too early would be delayed as well.
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
         CHECK_TRUE(eventually([&] { return this->is_claimed(key); }));
         return call;
     }
 
-    // Two routers get each request at the same moment, in several races at a time; every tenth race
-    // loses the reply to a claim. Returns how many races gave one of the two a whole answer.
+    // Two routers get each request at the same moment, with several races in parallel; in every
+    // tenth race the reply to a claim is lost. Returns the number of races in which one of the two
+    // gave a complete answer.
     std::size_t race(const std::string& prefix, std::size_t races,
                      const std::function<seen_answer(std::size_t, const std::string&)>& send)
     {
@@ -163,9 +165,9 @@
     }
 };
 
-// Two callers send the same chat request to two routers at the same moment, and it must not be
-// repeated. Both routers claim it; one write stands, and only its router runs the request. The
-// other caller is told that it is under way or has run.
+// Two callers send the same non-repeatable chat request to two routers at the same moment. Both
+// routers claim it, one write succeeds, and only that router may run the request. The other caller
+// gets an answer that it is in progress or has run.
 TEST(once_test, racing_chats_with_one_key_run_at_most_once)
 {
     const auto races = racing_requests() / 4;
@@ -175,8 +177,8 @@
     CHECK_TRUE(won >= races * 9 / 10);
 }
 
-// The same for a plain service, where the operators' configuration says which calls may be
-// repeated: callers need not say it.
+// The same for a plain service, where the configuration declares which calls may be repeated, so
+// that callers need not send this with the request.
 TEST(once_test, racing_calls_of_a_plain_service_with_one_key_run_at_most_once)
 {
     const auto races = racing_requests() / 4;
@@ -186,8 +188,8 @@
     CHECK_TRUE(won >= races * 9 / 10);
 }
 
-// The claim takes effect but its reply is lost. The router reads what stands there, finds its own
-// write and runs the request. A resend elsewhere is told that it ran.
+// The claim takes effect but its reply is lost. The router must read the stored claim, recognize
+// its own write and run the request. A resend through another router is answered that it ran.
 TEST(once_test, a_lost_reply_to_the_claim_neither_blocks_nor_doubles_the_run)
 {
     for (int i = 0; i < 5; ++i) {
@@ -205,9 +207,9 @@
     }
 }
 
-// The store is out, so that nobody could tell whether a resend of this request elsewhere runs as
-// well. It is refused with the word that it was not run and when to come back; when the store is
-// back, the caller's next try runs.
+// The store is unavailable, so that no router can tell whether a resend through another one runs as
+// well. The request must be refused as not run with a time to retry; when the store is back, the
+// caller's next attempt runs.
 TEST(once_test, without_the_store_a_request_is_refused_as_not_run_and_runs_later)
 {
     for (const std::string how : {"outage", "silent"}) {
@@ -229,9 +231,9 @@
     }
 }
 
-// The claim takes effect, but the store is so slow that its reply comes after the caller was told
-// `not_run`. The claim that stands then must not lead to a run, nor block the caller's next try for
-// good: the router that gave it up closes it as not run.
+// The claim takes effect, but the store is so slow that its reply arrives after the caller got
+// `not_run`. The stored claim must not lead to a run, nor block the caller's next attempt forever:
+// the router that gave the claim up closes it as not run.
 TEST(once_test, a_claim_that_lands_after_the_refusal_leads_to_no_run_and_blocks_nothing)
 {
     this->tell_store({{"reply_delay_ms", 4000}});
@@ -244,10 +246,10 @@
 }
 
 // A router is killed with one request running, and with the claim of another written but its reply
-// on the way, so that it never ran. A second router is paused, also before the reply to its claim.
-// Nobody can tell these apart from outside: resends to the others are told `in_progress`, and
-// `outcome_unknown` once the holder is missed for good. The paused one wakes then, and may run its
-// request as the only one that ever could; no request runs twice.
+// in flight, so that it never ran. A second router is paused, also before the reply to its claim.
+// These cases are indistinguishable from outside: resends to the others are answered `in_progress`,
+// and `outcome_unknown` once the holder has been absent for good. The paused router then resumes,
+// and may run its request as the only router that ever could; no request runs twice.
 TEST(once_test, a_holder_that_dies_or_pauses_after_its_claim_leaves_no_second_run)
 {
     this->fleet->routers.push_back(this->fleet->start_router("osu"));
@@ -292,9 +294,10 @@
     CHECK_TRUE(this->runs_of("paused") <= 1);
 }
 
-// The pause ends before anybody misses the holder. Resends meanwhile are told that the request is
-// under way. The holder goes on where it stood: it runs the request, or, when the pause took the
-// time for the claim, refuses it as not run, and the next send runs it.
+// The pause ends before the other routers find the holder absent. Resends meanwhile are answered
+// that the request is in progress. The holder then continues: it runs the request, or, when the
+// time limit of the claim passed during the pause, refuses it as not run, and the next send runs
+// it.
 TEST(once_test, a_claim_holder_paused_for_a_moment_leaves_one_run)
 {
     this->tell_store({{"reply_delay_ms", late_reply_ms}});
--- a/tests/integration/path_test.cpp
+++ b/tests/integration/path_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace pearhaven::tests;
 
-// The whole path without faults: what a caller and an operator see when everything works.
+// The complete request path without faults, as callers and operators see it.
 TEST_GROUP(path_test)
 {
     std::unique_ptr<test_fleet> fleet;
--- a/tests/integration/planned_stop_test.cpp
+++ b/tests/integration/planned_stop_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace pearhaven::tests;
 
-// Planned stops: what is in flight goes on to its end.
+// Planned stops: requests in flight are completed.
 TEST_GROUP(planned_stop_test)
 {
     std::unique_ptr<test_fleet> fleet;
@@ -28,8 +28,8 @@
     }
 };
 
-// The router is told to stop in the middle of a long stream. The caller has the whole answer, the
-// bill is in the store, and only then the process ends, with status 0.
+// The router gets the stop signal in the middle of a long stream. The process may end, with status
+// 0, only after the caller has the complete answer and the bill is in the store.
 TEST(planned_stop_test, a_stopping_router_finishes_and_bills_what_is_in_flight)
 {
     test_fleet::plan plan;
@@ -47,8 +47,8 @@
     LONGS_EQUAL(1, this->fleet->bills().size());
 }
 
-// The store is out when the router is told to stop, and stays out for a while. The router waits:
-// its bills would otherwise live on in its peers' memory alone.
+// The store is unavailable when the router gets the stop signal, and for a while after. The router
+// must wait: otherwise its bills would be kept in its peers' memory only.
 TEST(planned_stop_test, a_stop_during_an_outage_waits_until_the_bills_have_landed)
 {
     this->start({});
@@ -65,8 +65,8 @@
     LONGS_EQUAL(1, this->fleet->bills().size());
 }
 
-// An operator who cannot wait sends the signal again. The router ends at once, says in its exit
-// status that it cut something off, and the caller sees that its answer is not whole.
+// An operator who cannot wait sends the signal again. The router ends at once with the exit status
+// for cut-off requests, and the caller can see that its answer is incomplete.
 TEST(planned_stop_test, a_second_signal_ends_the_wait_and_says_so)
 {
     test_fleet::plan plan;
@@ -85,8 +85,8 @@
     CHECK_FALSE(call->wait().marked_whole);
 }
 
-// All engines are replaced one after the other: each is marked leaving in the host list, runs out,
-// and ends; a new one takes its place. Callers go on all the while, and none of them fails.
+// All engines are replaced one after the other: each is marked leaving in the host list, drains and
+// ends, and a new one takes its place. Callers keep sending requests, and none of them may fail.
 TEST(planned_stop_test, a_rolling_restart_of_all_engines_cuts_off_nothing)
 {
     test_fleet::plan plan;
--- a/tests/integration/rollout_test.cpp
+++ b/tests/integration/rollout_test.cpp
@@ -24,7 +24,7 @@
            more_fields + "}\n";
 }
 
-// Callers that go on asking for the model, through every router, until they are stopped.
+// Callers that keep requesting the model through every router until they are stopped.
 class model_callers {
 public:
     explicit model_callers(test_fleet& fleet, std::size_t count = 12)
@@ -104,7 +104,7 @@
         return nlohmann::json::parse(found["entries"][0]["value"].get<std::string>());
     }
 
-    // Every change of an object, oldest first, as its spec was then.
+    // Every revision of an object's spec, oldest first.
     std::vector<nlohmann::json> specs_of(const std::string& kind, const std::string& name)
     {
         std::vector<nlohmann::json> specs;
@@ -135,7 +135,7 @@
         return this->specs_of("version", new_version).back().value("withdrawn", false);
     }
 
-    // Requests that met the version, whatever came of them then.
+    // Number of requests that reached the version, whatever their outcome.
     std::size_t callers_that_met(const std::string& version)
     {
         std::set<std::string> requests;
@@ -147,7 +147,8 @@
         return requests.size();
     }
 
-    // Sends one request through the router until it is answered; whether it met the new version.
+    // Resends one request through the router until it is answered. Returns whether it reached the
+    // new version.
     bool meets_new_version(std::size_t router)
     {
         const auto before = this->callers_that_met(new_version);
@@ -158,10 +159,9 @@
     }
 };
 
-// The new version runs for a while and then answers with an error. Many callers press on through
-// all routers at once, so that more than enough would be on the new version before the first error
-// tells of it. No more than the first step's 25 may meet it, in the whole fleet, and nobody has to
-// act.
+// The new version answers with an error only after a while. Many concurrent callers on all routers
+// could send more requests to it than allowed before the first error is reported. In the complete
+// fleet at most the 25 requests of the first step may reach it, without an operator's intervention.
 TEST(rollout_test, a_version_that_fails_outright_meets_at_most_its_first_step_and_is_withdrawn)
 {
     this->break_new_version();
@@ -202,8 +202,8 @@
     LONGS_EQUAL(0, callers.failed.load());
 }
 
-// The router that moves the roll-out is killed after the first step. The duty goes to another when
-// the lease has ended; that one goes on at the recorded step, with the same attempt.
+// The router that controls the rollout is killed after the first step. When its lease has expired,
+// another router must take over the duty and continue the same attempt at the recorded step.
 TEST(rollout_test, another_router_goes_on_where_a_killed_holder_stopped)
 {
     this->fleet->apply(with_rollout("step_seconds: 3"));
@@ -235,8 +235,8 @@
     CHECK_FALSE(this->is_withdrawn());
 }
 
-// The version has been fully rolled out and answers well, then each run of it fails. Callers get
-// the old version again and the new one is withdrawn, though its roll-out was over.
+// The version is fully rolled out and answers well; then every run of it fails. Callers must get
+// the old version again and the new one must be withdrawn, although its rollout had completed.
 TEST(rollout_test, a_version_that_turns_bad_in_full_use_is_rolled_back)
 {
     this->fleet->apply(with_rollout("state: done"));
@@ -250,9 +250,9 @@
     callers.stop();
 }
 
-// The store is out, so that no holder can act. One router finds by its own callers that the version
-// has turned bad. The next router hears of it by gossip: by its own evidence alone it would send 13
-// callers, and each further router as many again.
+// The store is unavailable, so no duty holder can act. One router finds from its own callers that
+// the version has turned bad. The next router must learn of it by gossip: from its own evidence
+// alone it would send 13 callers to the version, and each further router as many again.
 TEST(rollout_test, a_router_hears_of_a_bad_version_from_another_while_the_store_is_out)
 {
     this->fleet->apply(with_rollout("state: done"));
