--- a/benchmarks/change_main.cpp
+++ b/benchmarks/change_main.cpp
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-DEFINE_double(step_ms, 100.0, "processor time for which each step is repeated, in milliseconds");
+DEFINE_double(step_ms, 100.0, "CPU time for which each step is repeated, in milliseconds");
 
 namespace pearhaven::benchmarks {
 
@@ -34,12 +34,12 @@
     return static_cast<double>(std::clock()) * ms_per_second / CLOCKS_PER_SEC;
 }
 
-// Mean processor time of one run of the step, in microseconds.
+// Mean CPU time of one run of the step, in microseconds.
 double cost_of(const std::function<void()>& step)
 {
     constexpr std::uint64_t fewest_runs = 3;
     constexpr double us_per_ms = 1000.0;
-    step(); // what is made once is not counted
+    step(); // excludes one-time initialization
     const double begun = processor_ms();
     std::uint64_t runs = 0;
     double spent = 0.0;
@@ -67,7 +67,7 @@
     return made;
 }
 
-// A router's state at one size, and the steps that a change takes there.
+// A router's state at one size, with the steps to benchmark.
 class changed_router {
 public:
     changed_router(std::size_t routes, std::size_t endpoints)
@@ -96,7 +96,7 @@
         this->stated = std::move(*read);
     }
 
-    // All routes and teams are copied.
+    // Copies all routes and teams.
     [[nodiscard]] decision::configuration_ptr build_anew()
     {
         decision::configuration_builder builder;
@@ -129,7 +129,7 @@
         }
     }
 
-    // An endpoint starts again, and the next request goes to its service.
+    // An endpoint restarts, and the next request is sent to its service.
     void change_in_whole_list()
     {
         auto& one = this->changed_endpoint();
@@ -144,22 +144,22 @@
         this->choose(one);
     }
 
-    // Told to the other routers many times a second, whether anything changed or not.
+    // Sent to the other routers many times a second, even if nothing changed.
     void tell_loads() const { static_cast<void>(this->table.own_loads()); }
 
-    // The next configuration states the same but for its revision.
+    // The next configuration differs only in its revision.
     void hand_over_the_same()
     {
         this->dispatcher.on_configuration(this->next_of_the_same(), this->now);
     }
 
-    // A service's endpoints bear another number of requests.
+    // The number of slots of one service's endpoints changes.
     void hand_over_another_pool()
     {
         this->dispatcher.on_configuration(this->next_with_another_pool(), this->now);
     }
 
-    // What is made for the hand-overs above is no part of them.
+    // Prepares the configurations for the steps above, so that building them is not measured.
     void prepare()
     {
         this->same = {this->build_of_parts(), this->build_of_parts()};
@@ -215,7 +215,7 @@
 
     std::size_t next_number(std::size_t bound)
     {
-        constexpr std::size_t stride = 7919; // a prime: visits all numbers, far from each other
+        constexpr std::size_t stride = 7919; // a prime: visits all numbers, in distant steps
         this->visited += stride;
         return this->visited % bound;
     }
--- a/benchmarks/load_main.cpp
+++ b/benchmarks/load_main.cpp
@@ -42,7 +42,7 @@
     return std::chrono::duration<double>(to - from).count();
 }
 
-// Listens to one answer and counts its tokens by their events.
+// Receives one answer and counts its tokens by their events.
 class answer_listener : public adapters::http_listener {
 public:
     answer_listener(load_sample begun, std::function<void(const load_sample&)> done)
@@ -234,7 +234,7 @@
         this->samples.push_back(done);
         --this->in_flight;
         if (this->streams[done.stream].rate <= 0.0) {
-            // A caller that was refused comes back after a moment, not at once.
+            // A caller retries after a short pause when its request did not complete.
             const double pause = done.completed ? 0.0 : 0.05;
             this->due.push({seconds_between(this->begun, clock::now()) + pause, done.stream});
         }
@@ -292,7 +292,7 @@
     using namespace pearhaven::benchmarks;
     auto flags = pearhaven::adapters::read_flags(argc, argv, "PEARHAVEN_LOAD");
     if (flags.help_wanted) {
-        std::cout << "load: sends chat requests and shows how they fared\n"
+        std::cout << "load: sends chat requests and prints statistics of their results\n"
                   << pearhaven::adapters::describe_flags("load_main.cpp");
         return 0;
     }
--- a/benchmarks/load_plan.cpp
+++ b/benchmarks/load_plan.cpp
@@ -18,7 +18,7 @@
     return static_cast<bool>(stream >> number) && stream.eof() && number >= 0.0;
 }
 
-// False when no field has this name or the value does not fit.
+// False if there is no such field or the value is invalid for it.
 bool set_field(load_stream& stream, const std::string& name, const std::string& value)
 {
     if (name == "name") {
@@ -194,7 +194,7 @@
     for (const auto& sample : samples) {
         longest = std::max(longest, sample.completed ? sample.first_token * milliseconds : 0.0);
     }
-    // A logarithmic scale from a tenth of a millisecond, so that a tail does not flatten the rest.
+    // A logarithmic scale from 0.1 ms, so that a long tail does not compress the rest.
     const double decades = std::log10(longest / 0.1);
     const auto x_of = [&](double ms) {
         return margin + (width - 2 * margin) * std::log10(std::max(ms, 0.1) / 0.1) / decades;
--- a/benchmarks/load_plan.hpp
+++ b/benchmarks/load_plan.hpp
@@ -8,9 +8,9 @@
 
 namespace pearhaven::benchmarks {
 
-// One kind of callers. Open loop where `rate` is set: requests come at random times whatever
-// becomes of earlier ones. Else closed loop: so many callers, each of which sends its next request
-// when the last has ended.
+// A group of callers. Open loop if `rate` is set: requests are sent at random times, independently
+// of the progress of earlier ones. Otherwise closed loop: each of `callers` sends its next request
+// when its last one has ended.
 struct load_stream {
     std::string name; // of the series in tables and plots
     std::string key;  // bearer key of the team
@@ -26,15 +26,15 @@
     friend bool operator==(const load_stream&, const load_stream&) = default;
 };
 
-// Reads `name=lookups,key=K,class=lookup,rate=50,tokens=16,prompt=200,from=5,to=10`, or says what
-// is wrong with it.
+// Parses `name=lookups,key=K,class=lookup,rate=50,tokens=16,prompt=200,from=5,to=10`, or returns
+// what is wrong with it.
 struct parsed_stream {
     load_stream stream;
     std::optional<std::string> fault;
 };
 parsed_stream parse_stream(const std::string& text);
 
-// What became of one request.
+// Result of one request.
 struct load_sample {
     std::size_t stream = 0;
     double sent_at = 0.0;      // seconds since the start
@@ -48,10 +48,10 @@
     friend bool operator==(const load_sample&, const load_sample&) = default;
 };
 
-// The value below which the share of the values lies; 0 for none. Sorts the values.
+// The quantile of the values at `share`; 0 if there are none. Sorts the values.
 double quantile(std::vector<double>& values, double share);
 
-// One line of the result's table.
+// One row of the result table.
 struct load_summary {
     std::string name;
     std::size_t sent = 0;
@@ -77,7 +77,8 @@
 std::string to_csv(const std::vector<load_sample>& samples,
                    const std::vector<load_stream>& streams);
 
-// A plot of the share of requests against their time to the first token, a curve a stream, as SVG.
+// An SVG plot of the cumulative share of requests by time to first token, with a curve for each
+// stream.
 std::string to_svg(const std::vector<load_sample>& samples,
                    const std::vector<load_stream>& streams);
 
--- a/samples/embed.cpp
+++ b/samples/embed.cpp
@@ -2,7 +2,8 @@
 
 #include <iostream>
 
-// Embeds the decisions alone: which versions may a team use, before and after a withdrawal?
+// Embeds the decision package alone: checks which versions a team may use before and after a
+// withdrawal.
 int main()
 {
     namespace decision = pearhaven::decision;
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -15,7 +15,7 @@
 
 using namespace pearhaven::tests;
 
-// Whole and right answers, sessions, and endpoints that break, hang, leave or are crashed by a
+// Complete and correct answers, sessions, and endpoints that fail, hang, leave or are crashed by a
 // request.
 TEST_GROUP(answers_test)
 {
@@ -32,9 +32,9 @@
         this->fleet.reset();
     }
 
-    void check_whole(const chat_answer& answer, const chat_request& request)
+    void check_complete(const chat_answer& answer, const chat_request& request)
     {
-        CHECK_TRUE_TEXT(answer.is_whole_answer_to(request), answer.to_text().c_str());
+        CHECK_TRUE_TEXT(answer.is_complete_answer_to(request), answer.to_text().c_str());
     }
 
     std::size_t runs_of(const std::string& request_id)
@@ -67,9 +67,9 @@
     }
 };
 
-// The connection to the engine goes silent in mid-answer, while new ones work. The caller sees a
-// pause and then the rest: the router asks for the same run from its next token on a fresh
-// connection. The engine ran the request once, and its other callers notice nothing.
+// The connection to the engine goes silent in the middle of an answer, while new connections work.
+// The caller sees a pause and then the rest: the router resumes the same run from its next token on
+// a new connection. The engine must run the request once and not be ejected.
 TEST(answers_test, a_silent_connection_costs_a_pause_and_no_second_run)
 {
     test_fleet::plan plan;
@@ -83,16 +83,16 @@
     CHECK_TRUE(call->wait_for_tokens(10));
     this->fleet->behave(this->fleet->engines[0].proxy_admin, {{"silence_open", true}});
     const auto answer = call->wait();
-    this->check_whole(answer, request);
+    this->check_complete(answer, request);
     LONGS_EQUAL(1, this->runs_of(answer.header("pearhaven-request")));
     const auto endpoints = this->fleet->get(this->fleet->routers[0].operators, "/v1/endpoints");
     CHECK_FALSE(endpoints["endpoints"][0]["ejected"].get<bool>());
 }
 
-// Streams are cut in the middle, cleanly closed without their end marker, and slowed. Each caller
-// has its own whole answer all the same, or a failure that says so; none is cut short in silence,
-// doubled or mixed with another's.
-TEST(answers_test, cut_and_truncated_streams_reach_their_callers_whole)
+// Streams are cut in the middle, closed cleanly without their end marker, and slowed. Each caller
+// must get its own complete answer: none may be truncated silently, duplicated or mixed with
+// another's.
+TEST(answers_test, cut_and_truncated_streams_reach_their_callers_complete)
 {
     test_fleet::plan plan;
     plan.proxied_engines = true;
@@ -119,12 +119,12 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     this->fleet->behave(this->fleet->engines[1].proxy_admin, {{"clear", true}});
     for (std::size_t i = 0; i < calls.size(); ++i) {
-        this->check_whole(calls[i]->wait(), requests[i]);
+        this->check_complete(calls[i]->wait(), requests[i]);
     }
 }
 
-// An engine is killed while it answers. A caller that has part of a stream is told that the rest
-// will not come; one that waits for a whole answer has it from another engine.
+// An engine is killed while it answers. A caller that has part of a stream gets an error that the
+// rest will not come; one that waits for an unstreamed answer gets it from another engine.
 TEST(answers_test, an_engine_that_dies_breaks_begun_streams_openly_and_costs_others_nothing)
 {
     test_fleet::plan plan;
@@ -144,18 +144,18 @@
     this->fleet->engines[0].process->kill();
     for (std::size_t i = 0; i < calls.size(); ++i) {
         const auto answer = calls[i]->wait();
-        if (requests[i].streamed && !answer.marked_whole) {
+        if (requests[i].streamed && !answer.marked_complete) {
             CHECK_EQUAL(std::string("answer_broken"), answer.error_code);
             CHECK_EQUAL(std::string("unknown"), answer.run);
             CHECK_TRUE(answer.resend);
         } else {
-            this->check_whole(answer, requests[i]);
+            this->check_complete(answer, requests[i]);
         }
     }
 }
 
-// One request crashes every engine that runs it, and its caller sends it again and again, to every
-// router. It takes two engines at the most; the others of its batches get their answers.
+// One request crashes every engine that runs it, and its caller resends it repeatedly to every
+// router. It may crash at most two engines; the other requests in their batches must be answered.
 TEST(answers_test, a_crashing_request_takes_at_most_two_engines)
 {
     test_fleet::plan plan;
@@ -181,18 +181,18 @@
     for (std::size_t resend = 0; resend < 9; ++resend) {
         CHECK_TRUE(this->fleet->ask(resend % 3, poison).status != 200);
         std::this_thread::sleep_for(
-            std::chrono::milliseconds(300)); // as long as the answer said at least
+            std::chrono::milliseconds(300)); // at least the retry delay in the answer
     }
     for (std::size_t i = 0; i < calls.size(); ++i) {
-        this->check_whole(calls[i]->wait(), requests[i]);
+        this->check_complete(calls[i]->wait(), requests[i]);
     }
     CHECK_TRUE(this->engines_running() >= 4);
     CHECK_EQUAL(std::string("request_quarantined"), this->fleet->ask(2, poison).error_code);
 }
 
-// An engine says that it is leaving. The host list shows it live for 30 s more, and its load
-// reports are a minute old, so that only a router that is refused by it knows. After 3 s no router
-// offers it anything.
+// An engine refuses requests because it is leaving, but the host list still shows it live and its
+// load reports are a minute old, so that only a router with a refused request knows. After 3 s no
+// router may send it a request.
 TEST(answers_test, a_leaving_engine_is_offered_nothing_after_three_seconds)
 {
     test_fleet::plan plan;
@@ -203,18 +203,18 @@
     const auto ask_some = [&](std::size_t routers) {
         for (std::size_t i = 0; i < 24; ++i) {
             const chat_request request;
-            this->check_whole(this->fleet->ask(i % routers, request), request);
+            this->check_complete(this->fleet->ask(i % routers, request), request);
         }
     };
-    ask_some(1); // through one router alone, which tells the others
+    ask_some(1); // through one router only, which informs the others
     std::this_thread::sleep_for(std::chrono::seconds(3));
     const auto before = this->offered_to(this->fleet->engines[0]);
     ask_some(3);
     LONGS_EQUAL(before, this->offered_to(this->fleet->engines[0]));
 }
 
-// Routers are replaced one after the other while callers hold long streams, behind a balancer that
-// asks /readyz every 100 ms. No caller sees anything of it.
+// Routers are replaced one after the other while callers hold long streams, behind a load balancer
+// that polls /readyz every 100 ms. No caller may notice it.
 TEST(answers_test, a_rolling_restart_of_all_routers_cuts_off_nothing)
 {
     test_fleet::plan plan;
@@ -241,7 +241,7 @@
                 }
                 const auto answer = chat_call(this->fleet->http(), router, request).wait();
                 const std::lock_guard guard(mutex);
-                if (answer.is_whole_answer_to(request)) {
+                if (answer.is_complete_answer_to(request)) {
                     ++whole;
                 } else if (first_failure.empty()) {
                     first_failure = answer.to_text();
@@ -274,8 +274,8 @@
 }
 
 // A session began on version 1. Routers are killed and replaced, the traffic moves to version 2 and
-// the store goes out: each later turn still runs on version 1. Once version 1 is withdrawn, the
-// session ends with a clear answer and is not moved to version 2.
+// the store becomes unavailable: each later turn must still run on version 1. Once version 1 is
+// withdrawn, the session ends with an explicit error and is not moved to version 2.
 TEST(answers_test, a_session_keeps_its_version_through_loss_outage_and_new_traffic_shares)
 {
     this->start({});
@@ -295,7 +295,7 @@
     this->fleet->behave(this->fleet->store.own_address, {{"outage", true}});
     for (std::size_t turn = 0; turn < 6; ++turn) {
         const auto answer = this->fleet->ask(turn % 3, request);
-        this->check_whole(answer, request);
+        this->check_complete(answer, request);
         CHECK_EQUAL(std::string("adjudicator-1"), answer.header("pearhaven-version"));
     }
     this->fleet->behave(this->fleet->store.own_address, {{"outage", false}});
--- a/tests/integration/bad_input_test.cpp
+++ b/tests/integration/bad_input_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// A plain TCP connection that sends what no client library would.
+// A raw TCP connection for input that no client library would send.
 class raw_connection {
 public:
     explicit raw_connection(const std::string& address) : socket(::socket(AF_INET, SOCK_STREAM, 0))
@@ -42,7 +42,7 @@
         ::send(this->socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
 
-    // Everything until the other end closes.
+    // Reads until the other end closes the connection.
     [[nodiscard]] std::string read_all() const
     {
         std::string text;
@@ -69,7 +69,7 @@
 
 } // namespace
 
-// Whatever is sent to a router's ports, its other callers are served as before.
+// Invalid input on a router's ports must not affect its other callers.
 TEST_GROUP(bad_input_test)
 {
     std::unique_ptr<test_fleet> fleet;
@@ -93,7 +93,7 @@
     {
         const chat_request request;
         const auto answer = this->fleet->ask(0, request);
-        CHECK_TRUE_TEXT(answer.is_whole_answer_to(request), answer.to_text().c_str());
+        CHECK_TRUE_TEXT(answer.is_complete_answer_to(request), answer.to_text().c_str());
     }
 
     const running_router& router()
@@ -126,9 +126,9 @@
     CHECK_TRUE(answer.body.find("20000") != std::string::npos);
 }
 
-// A caller announces a body and sends half of it. It is told so after the read timeout, and its
-// thread is free again: 64 such callers at once do not keep the next one from its answer.
-TEST(bad_input_test, half_sent_requests_are_told_so_and_hold_nothing_up)
+// A caller announces a body and sends half of it. It must get an error after the read timeout,
+// which frees its thread: more such callers than there are threads do not block the next one.
+TEST(bad_input_test, incomplete_requests_are_rejected_and_do_not_block_others)
 {
     std::vector<std::unique_ptr<raw_connection>> half;
     for (int i = 0; i < 70; ++i) {
--- a/tests/integration/bills_test.cpp
+++ b/tests/integration/bills_test.cpp
@@ -18,14 +18,15 @@
 
 constexpr std::uint32_t whole_tokens = 8;
 
-// So long that a router can be killed in the middle: 2 s at 2 ms for each token.
+// Long enough to kill a router in the middle: 2 s at 2 ms for each token.
 constexpr std::uint32_t long_answer = 1000;
 
-// A step of the engines then takes 1 s.
-constexpr double standstill = 500;
+// Each step of the engines then takes 1 s.
+constexpr double stalled_slow_factor = 500;
 
-// The bill is written, and the end would be sent, within a few milliseconds of the last token.
-constexpr std::chrono::milliseconds time_for_the_end{300};
+// The bill is written, and the end marker would be sent, within a few milliseconds of the last
+// token.
+constexpr std::chrono::milliseconds end_marker_delay{300};
 
 chat_request request_with(const std::string& key, std::uint32_t max_tokens = whole_tokens)
 {
@@ -37,9 +38,9 @@
 
 std::chrono::seconds outage_length()
 {
-    const char* stated = std::getenv("PEARHAVEN_OUTAGE_SECONDS");
-    constexpr int in_every_build = 10;
-    return std::chrono::seconds(stated == nullptr ? in_every_build : std::atoi(stated));
+    const char* configured = std::getenv("PEARHAVEN_OUTAGE_SECONDS");
+    constexpr int default_value = 10;
+    return std::chrono::seconds(configured == nullptr ? default_value : std::atoi(configured));
 }
 
 } // namespace
@@ -63,12 +64,12 @@
         CHECK_TRUE_TEXT(violations.empty(), join(violations).c_str());
     }
 
-    void tell_store(const nlohmann::json& behaviours)
+    void set_store_behaviour(const nlohmann::json& behaviours)
     {
         this->fleet->behave(this->fleet->store.own_address, behaviours);
     }
 
-    void tell_engines(const nlohmann::json& behaviours)
+    void set_engine_behaviour(const nlohmann::json& behaviours)
     {
         for (const auto& engine : this->fleet->engines) {
             this->fleet->behave(engine.own_address, behaviours);
@@ -91,25 +92,26 @@
         return stats.at("lost_replies").get<int>();
     }
 
-    // Kills the first router; what its caller had seen by then is the end of it.
-    chat_answer kill_under(chat_call & call, const chat_request& request)
+    // Kills the first router and returns what its caller had received by then.
+    chat_answer kill_router_during(chat_call & call, const chat_request& request)
     {
         this->fleet->routers[0].process->kill();
         auto answer = call.wait();
-        this->history.note(request.headers.at("idempotency-key"), seen_answer::of(answer, request));
+        this->history.note(request.headers.at("idempotency-key"),
+                           observed_answer::of(answer, request));
         return answer;
     }
 
-    // The caller sends its request to another router until it has the whole answer.
+    // Resends the request through another router until the caller has the complete answer.
     void send_again(const chat_request& request)
     {
         const bool answered = eventually([&] {
-            return this->history.ask(*this->fleet, 1, request).is_whole_answer_to(request);
+            return this->history.ask(*this->fleet, 1, request).is_complete_answer_to(request);
         });
         CHECK_TRUE_TEXT(answered, "expected a whole answer from another router");
     }
 
-    // The bills come to agree with the engines' runs, request by request.
+    // Waits until the bills agree with the engines' runs, request by request.
     void check_bills()
     {
         std::vector<std::string> violations;
@@ -121,54 +123,54 @@
     }
 };
 
-// The engines take long for the first token. The router is killed with the run under way; its
-// caller sees nothing and sends the request to another router, which runs it a second time. Both
-// runs come to their end, and the request is paid for once.
+// The engines take long for the first token, and the router is killed while the run is in progress.
+// Its caller has received nothing and resends the request to another router, which runs it a second
+// time. Both runs finish, and the request must be billed once.
 TEST(bills_test, a_router_killed_before_the_first_token_leaves_one_bill)
 {
     const auto request = request_with("before-the-first-token");
-    this->tell_engines({{"slow_factor", standstill}});
+    this->set_engine_behaviour({{"slow_factor", stalled_slow_factor}});
     const auto call = this->fleet->call(0, request);
     CHECK_TRUE(eventually([&] { return this->is_running("before-the-first-token"); }));
-    const auto cut = this->kill_under(*call, request);
+    const auto cut = this->kill_router_during(*call, request);
     LONGS_EQUAL(0, cut.tokens.size());
-    this->tell_engines({{"slow_factor", 1}});
+    this->set_engine_behaviour({{"slow_factor", 1}});
     this->send_again(request);
     this->check_bills();
 }
 
-// The router is killed while tokens flow. The caller has a part without an end marker, knows by
-// that that it is not whole, and sends the request to another router. Nobody is billed for the
-// part.
+// The router is killed in the middle of a stream. The caller recognizes its partial answer by the
+// missing end marker and resends the request to another router. The partial answer must not be
+// billed.
 TEST(bills_test, a_router_killed_in_mid_stream_leaves_one_bill)
 {
     const auto request = request_with("in-mid-stream", long_answer);
     const auto call = this->fleet->call(0, request);
     CHECK_TRUE(call->wait_for_tokens(5));
-    const auto cut = this->kill_under(*call, request);
-    CHECK_FALSE_TEXT(cut.marked_whole, cut.to_text().c_str());
+    const auto cut = this->kill_router_during(*call, request);
+    CHECK_FALSE_TEXT(cut.marked_complete, cut.to_text().c_str());
     this->send_again(request);
     this->check_bills();
 }
 
-// The store takes no write and the peers stand still, so that the bill is safe nowhere. The caller
-// has all tokens but no end marker when its router is killed. It sends the request to another
-// router, whose bill is the only one.
+// The store accepts no write and the peers are paused, so that the bill is stored nowhere. The
+// caller has all tokens but must not have the end marker when its router is killed. It resends the
+// request to another router, whose bill is the only one.
 TEST(bills_test, a_router_killed_before_its_bill_was_written_has_not_ended_the_answer)
 {
     const auto request = request_with("before-the-bill");
-    this->tell_store({{"silent", true}});
+    this->set_store_behaviour({{"silent", true}});
     this->fleet->routers[1].process->signal(SIGSTOP);
     this->fleet->routers[2].process->signal(SIGSTOP);
     const auto call = this->fleet->call(0, request);
     const bool all_tokens = call->wait_for_tokens(whole_tokens);
-    std::this_thread::sleep_for(time_for_the_end);
-    const auto cut = this->kill_under(*call, request);
+    std::this_thread::sleep_for(end_marker_delay);
+    const auto cut = this->kill_router_during(*call, request);
     this->fleet->routers[1].process->signal(SIGCONT);
     this->fleet->routers[2].process->signal(SIGCONT);
-    this->tell_store({{"silent", false}});
+    this->set_store_behaviour({{"silent", false}});
     CHECK_TRUE_TEXT(all_tokens, cut.to_text().c_str());
-    CHECK_FALSE_TEXT(cut.marked_whole, cut.to_text().c_str());
+    CHECK_FALSE_TEXT(cut.marked_complete, cut.to_text().c_str());
     this->send_again(request);
     this->check_bills();
 }
@@ -181,16 +183,16 @@
     const auto request = request_with("after-the-bill");
     this->fleet->routers[1].process->signal(SIGSTOP);
     this->fleet->routers[2].process->signal(SIGSTOP);
-    this->tell_store({{"reply_delay_ms", 3000}});
+    this->set_store_behaviour({{"reply_delay_ms", 3000}});
     const auto call = this->fleet->call(0, request);
     const bool all_tokens = call->wait_for_tokens(whole_tokens);
-    std::this_thread::sleep_for(time_for_the_end);
-    const auto cut = this->kill_under(*call, request);
+    std::this_thread::sleep_for(end_marker_delay);
+    const auto cut = this->kill_router_during(*call, request);
     this->fleet->routers[1].process->signal(SIGCONT);
     this->fleet->routers[2].process->signal(SIGCONT);
-    this->tell_store({{"reply_delay_ms", 0}});
+    this->set_store_behaviour({{"reply_delay_ms", 0}});
     CHECK_TRUE_TEXT(all_tokens, cut.to_text().c_str());
-    CHECK_FALSE_TEXT(cut.marked_whole, cut.to_text().c_str());
+    CHECK_FALSE_TEXT(cut.marked_complete, cut.to_text().c_str());
     LONGS_EQUAL(1, this->fleet->bills().size());
     this->send_again(request);
     this->check_bills();
@@ -205,7 +207,7 @@
     const auto request = request_with("after-the-end");
     const auto answer = this->history.ask(*this->fleet, 0, request);
     this->fleet->routers[0].process->kill();
-    CHECK_TRUE_TEXT(answer.is_whole_answer_to(request), answer.to_text().c_str());
+    CHECK_TRUE_TEXT(answer.is_complete_answer_to(request), answer.to_text().c_str());
     LONGS_EQUAL(1, this->fleet->bills().size());
     this->send_again(request);
     this->check_bills();
@@ -215,11 +217,12 @@
 // router busy. Each answer must end, and each request must be billed exactly once.
 TEST(bills_test, lost_replies_to_bill_writes_lose_and_double_nothing)
 {
-    constexpr int enough = 10;
-    constexpr int most_rounds = 100;
+    constexpr int min_lost_replies = 10;
+    constexpr int max_rounds = 100;
     std::size_t asked = 0;
-    for (int round = 0; round < most_rounds && this->count_lost_replies() < enough; ++round) {
-        this->tell_store({{"lose_reply_prefix", "bills/"}, {"lose_reply_next", 3}});
+    for (int round = 0; round < max_rounds && this->count_lost_replies() < min_lost_replies;
+         ++round) {
+        this->set_store_behaviour({{"lose_reply_prefix", "bills/"}, {"lose_reply_next", 3}});
         std::vector<std::thread> callers;
         for (std::size_t router = 0; router < 3; ++router) {
             callers.emplace_back([this, router, round] {
@@ -232,8 +235,8 @@
         }
         asked += callers.size();
     }
-    CHECK_TRUE(this->count_lost_replies() >= enough);
-    LONGS_EQUAL(asked, this->history.count_whole());
+    CHECK_TRUE(this->count_lost_replies() >= min_lost_replies);
+    LONGS_EQUAL(asked, this->history.count_complete());
     this->check_bills();
 }
 
@@ -242,7 +245,7 @@
 // answer must be billed.
 TEST(bills_test, answers_end_during_an_outage_and_are_billed_after_it)
 {
-    this->tell_store({{"outage", true}});
+    this->set_store_behaviour({{"outage", true}});
     const auto end = std::chrono::steady_clock::now() + outage_length();
     std::vector<std::thread> callers;
     std::vector<std::atomic<int>> ended(3);
@@ -254,14 +257,14 @@
                 const auto request = request_with(key);
                 const auto answer = this->history.ask(*this->fleet, router, request);
                 const bool in_time = std::chrono::steady_clock::now() < end;
-                ended[router] += in_time && answer.is_whole_answer_to(request) ? 1 : 0;
+                ended[router] += in_time && answer.is_complete_answer_to(request) ? 1 : 0;
             }
         });
     }
     for (auto& caller : callers) {
         caller.join();
     }
-    this->tell_store({{"outage", false}});
+    this->set_store_behaviour({{"outage", false}});
     for (const auto& count : ended) {
         // One answer a second from each router shows that answers are still completed.
         CHECK_TRUE_TEXT(count >= outage_length().count(), std::to_string(count).c_str());
@@ -274,15 +277,15 @@
 // write them.
 TEST(bills_test, bills_of_a_router_killed_during_an_outage_are_written_by_its_peers)
 {
-    this->tell_store({{"outage", true}});
+    this->set_store_behaviour({{"outage", true}});
     for (int i = 0; i < 10; ++i) {
         const auto request = request_with("killed-in-outage-" + std::to_string(i));
         const auto answer = this->history.ask(*this->fleet, 0, request);
-        CHECK_TRUE_TEXT(answer.is_whole_answer_to(request), answer.to_text().c_str());
+        CHECK_TRUE_TEXT(answer.is_complete_answer_to(request), answer.to_text().c_str());
     }
     this->fleet->routers[0].process->kill();
     std::this_thread::sleep_for(std::chrono::seconds(1));
-    this->tell_store({{"outage", false}});
+    this->set_store_behaviour({{"outage", false}});
     this->check_bills();
     LONGS_EQUAL(10, this->fleet->bills().size());
 }
--- a/tests/integration/configuration_test.cpp
+++ b/tests/integration/configuration_test.cpp
@@ -15,8 +15,9 @@
 
 namespace {
 
-// Bytes that left a router just before a withdrawal was in force may reach the engine just after.
-constexpr std::int64_t flight_ms = 50;
+// A request that left a router just before a withdrawal took effect may reach the engine just
+// after.
+constexpr std::int64_t max_transit_ms = 50;
 
 std::int64_t unix_ms()
 {
@@ -33,7 +34,7 @@
             this->threads.emplace_back([this, &fleet, request, i] {
                 while (!this->stopped) {
                     const auto answer = fleet.ask(i % fleet.routers.size(), request);
-                    ++(answer.is_whole_answer_to(request) ? this->whole : this->refused);
+                    ++(answer.is_complete_answer_to(request) ? this->whole : this->refused);
                     if (answer.status != 200) {
                         std::this_thread::sleep_for(std::chrono::milliseconds(20));
                     }
@@ -93,10 +94,10 @@
     {
         int count = 0;
         for (const auto& run : this->fleet->runs()) {
-            count +=
-                run["version"] == version && run["at_ms"].get<std::int64_t>() > moment + flight_ms
-                    ? 1
-                    : 0;
+            count += run["version"] == version &&
+                             run["at_ms"].get<std::int64_t>() > moment + max_transit_ms
+                         ? 1
+                         : 0;
         }
         return count;
     }
@@ -136,13 +137,13 @@
 // membership has expired. Requests wait in the paused router's sockets. When it resumes, its
 // configuration still allows the version; it must detect that this configuration is stale before it
 // starts any run.
-TEST(configuration_test, a_router_that_wakes_from_a_pause_does_not_start_a_withdrawn_version)
+TEST(configuration_test, a_router_that_resumes_after_a_pause_does_not_start_a_withdrawn_version)
 {
     this->start({});
     auto& paused = this->fleet->routers[1];
     chat_request request;
     request.model = "adjudicator-2";
-    CHECK_TRUE(this->fleet->ask(1, request).is_whole_answer_to(request));
+    CHECK_TRUE(this->fleet->ask(1, request).is_complete_answer_to(request));
     paused.process->signal(SIGSTOP);
     std::vector<std::unique_ptr<chat_call>> waiting;
     waiting.reserve(8);
@@ -183,7 +184,7 @@
     CHECK_EQUAL(std::string("version_withdrawn"), this->fleet->ask(3, request).error_code);
     request.model = "adjudicator-1";
     CHECK_TRUE(
-        eventually([&] { return this->fleet->ask(3, request).is_whole_answer_to(request); }));
+        eventually([&] { return this->fleet->ask(3, request).is_complete_answer_to(request); }));
 }
 
 // Two operators keep changing different objects while every third reply of the store is lost. Each
@@ -193,14 +194,14 @@
 {
     this->start({});
     std::atomic<bool> done{false};
-    std::atomic<int> falls{0};
+    std::atomic<int> revision_decreases{0};
     std::thread watcher([&] {
         std::vector<std::uint64_t> last(this->fleet->routers.size(), 0);
         while (!done) {
             for (std::size_t i = 0; i < last.size(); ++i) {
                 const auto seen = this->fleet->status(this->fleet->routers[i])
                                       .value("revision", std::uint64_t{0});
-                falls += seen < last[i] ? 1 : 0;
+                revision_decreases += seen < last[i] ? 1 : 0;
                 last[i] = seen;
             }
         }
@@ -237,10 +238,10 @@
     }
     LONGS_EQUAL(0, others.load());
     LONGS_EQUAL(24, accepted.load());
-    LONGS_EQUAL(25, head["revision"].get<int>()); // the first change made the base configuration
+    LONGS_EQUAL(25, head["revision"].get<int>()); // the first change is the base configuration
     LONGS_EQUAL(25, revisions.size());
     LONGS_EQUAL(25, write_ids.size());
-    LONGS_EQUAL(0, falls.load());
+    LONGS_EQUAL(0, revision_decreases.load());
     CHECK_FALSE(history.empty());
 }
 
@@ -255,11 +256,11 @@
     this->fleet->apply(with_withdrawn("adjudicator-1"));
     chat_request request;
     request.model = "adjudicator-1";
-    const auto has_it = [&] {
+    const auto has_change = [&] {
         return this->fleet->ask(2, request).error_code == "version_withdrawn";
     };
-    CHECK_TRUE(eventually(has_it, std::chrono::seconds(5)));
+    CHECK_TRUE(eventually(has_change, std::chrono::seconds(5)));
     request.model = "adjudicator-2";
     CHECK_TRUE(
-        eventually([&] { return this->fleet->ask(2, request).is_whole_answer_to(request); }));
+        eventually([&] { return this->fleet->ask(2, request).is_complete_answer_to(request); }));
 }
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -34,7 +34,7 @@
 constexpr std::chrono::seconds holder_timeout{60};
 
 // Each step of the engines then takes 1 s.
-constexpr double standstill = 500;
+constexpr double stalled_slow_factor = 500;
 
 // After this time without a reply a write is considered lost and retried.
 constexpr int late_reply_ms = 900;
@@ -42,9 +42,9 @@
 // Total number of racing requests in all tests of this file.
 std::size_t racing_requests()
 {
-    const char* stated = std::getenv("PEARHAVEN_RACES");
-    constexpr std::size_t in_every_build = 2000;
-    return stated == nullptr ? in_every_build : std::strtoul(stated, nullptr, 10);
+    const char* configured = std::getenv("PEARHAVEN_RACES");
+    constexpr std::size_t default_value = 2000;
+    return configured == nullptr ? default_value : std::strtoul(configured, nullptr, 10);
 }
 
 chat_request once(const std::string& key)
@@ -79,30 +79,30 @@
         CHECK_TRUE_TEXT(violations.empty(), join(violations).c_str());
     }
 
-    void tell_store(const nlohmann::json& behaviours)
+    void set_store_behaviour(const nlohmann::json& behaviours)
     {
         this->fleet->behave(this->fleet->store.own_address, behaviours);
     }
 
-    void tell_engines(const nlohmann::json& behaviours)
+    void set_engine_behaviour(const nlohmann::json& behaviours)
     {
         for (const auto& engine : this->fleet->engines) {
             this->fleet->behave(engine.own_address, behaviours);
         }
     }
 
-    seen_answer chat(std::size_t router, const std::string& key)
+    observed_answer chat(std::size_t router, const std::string& key)
     {
         this->history.expect_at_most_one_run(key);
         const auto request = once(key);
-        return seen_answer::of(this->history.ask(*this->fleet, router, request), request);
+        return observed_answer::of(this->history.ask(*this->fleet, router, request), request);
     }
 
-    seen_answer book(std::size_t router, const std::string& key)
+    observed_answer book(std::size_t router, const std::string& key)
     {
         this->history.expect_at_most_one_run(key);
-        auto seen = seen_answer::of(this->fleet->call_service(router, "POST", "booking/seats", "{}",
-                                                              {{"idempotency-key", key}}));
+        auto seen = observed_answer::of(this->fleet->call_service(
+            router, "POST", "booking/seats", "{}", {{"idempotency-key", key}}));
         this->history.note(key, seen);
         return seen;
     }
@@ -137,7 +137,7 @@
     // tenth race the reply to a claim is lost. Returns the number of races in which one of the two
     // gave a complete answer.
     std::size_t race(const std::string& prefix, std::size_t races,
-                     const std::function<seen_answer(std::size_t, const std::string&)>& send)
+                     const std::function<observed_answer(std::size_t, const std::string&)>& send)
     {
         std::atomic<std::size_t> next{0};
         std::atomic<std::size_t> won{0};
@@ -146,7 +146,7 @@
             threads.emplace_back([&] {
                 for (auto i = next++; i < races; i = next++) {
                     if (i % 10 == 0) {
-                        this->tell_store(
+                        this->set_store_behaviour(
                             {{"lose_reply_prefix", "claims/"}, {"lose_reply_next", 1}});
                     }
                     const auto key = prefix + std::to_string(i);
@@ -193,16 +193,16 @@
 TEST(once_test, a_lost_reply_to_the_claim_neither_blocks_nor_doubles_the_run)
 {
     for (int i = 0; i < 5; ++i) {
-        this->tell_store({{"lose_reply_prefix", "claims/"}, {"lose_reply_next", 1}});
+        this->set_store_behaviour({{"lose_reply_prefix", "claims/"}, {"lose_reply_next", 1}});
         const auto key = "lost-" + std::to_string(i);
         const auto first = i % 2 == 0 ? this->chat(0, key) : this->book(0, key);
         CHECK_TRUE_TEXT(first.whole, first.to_text().c_str());
-        seen_answer again;
-        const bool told = eventually([&] {
+        observed_answer again;
+        const bool answered = eventually([&] {
             again = i % 2 == 0 ? this->chat(1, key) : this->book(1, key);
             return again.code == "already_ran";
         });
-        CHECK_TRUE_TEXT(told, again.to_text().c_str());
+        CHECK_TRUE_TEXT(answered, again.to_text().c_str());
         LONGS_EQUAL(1, this->runs_of(key));
     }
 }
@@ -213,14 +213,14 @@
 TEST(once_test, without_the_store_a_request_is_refused_as_not_run_and_runs_later)
 {
     for (const std::string how : {"outage", "silent"}) {
-        this->tell_store({{how, true}});
+        this->set_store_behaviour({{how, true}});
         const auto begin = steady_clock::now();
         auto chat =
             std::async(std::launch::async, [this, how] { return this->chat(0, "chat-" + how); });
         const auto booked = this->book(1, "book-" + how);
         const auto chatted = chat.get();
         const auto took = steady_clock::now() - begin;
-        this->tell_store({{how, false}});
+        this->set_store_behaviour({{how, false}});
         for (const auto& refused : {chatted, booked}) {
             CHECK_EQUAL(std::string("not_run"), refused.run);
             CHECK_FALSE_TEXT(refused.retry_after.empty(), refused.to_text().c_str());
@@ -236,11 +236,11 @@
 // the router that gave the claim up closes it as not run.
 TEST(once_test, a_claim_that_lands_after_the_refusal_leads_to_no_run_and_blocks_nothing)
 {
-    this->tell_store({{"reply_delay_ms", 4000}});
+    this->set_store_behaviour({{"reply_delay_ms", 4000}});
     const auto refused = this->chat(0, "late-claim");
     CHECK_EQUAL(std::string("not_run"), refused.run);
     LONGS_EQUAL(0, this->runs_of("late-claim"));
-    this->tell_store({{"reply_delay_ms", 0}});
+    this->set_store_behaviour({{"reply_delay_ms", 0}});
     CHECK_TRUE(eventually([&] { return this->chat(1, "late-claim").whole; }));
     LONGS_EQUAL(1, this->runs_of("late-claim"));
 }
@@ -256,27 +256,27 @@
     this->fleet->wait_until_ready(this->fleet->routers[3]);
     const std::vector<std::string> keys = {"running", "claimed", "paused"};
     std::vector<std::unique_ptr<chat_call>> calls;
-    this->tell_engines({{"slow_factor", standstill}});
+    this->set_engine_behaviour({{"slow_factor", stalled_slow_factor}});
     calls.push_back(this->fleet->call(0, once("running")));
     CHECK_TRUE(eventually([&] { return this->runs_of("running") == 1; }));
-    this->tell_store({{"reply_delay_ms", late_reply_ms}});
+    this->set_store_behaviour({{"reply_delay_ms", late_reply_ms}});
     calls.push_back(this->claim_only(0, "claimed"));
     this->fleet->routers[0].process->kill();
     calls.push_back(this->claim_only(3, "paused"));
     this->fleet->routers[3].process->signal(SIGSTOP);
-    this->tell_store({{"reply_delay_ms", 0}});
-    this->tell_engines({{"slow_factor", 1}});
+    this->set_store_behaviour({{"reply_delay_ms", 0}});
+    this->set_engine_behaviour({{"slow_factor", 1}});
     for (const auto& key : keys) {
         this->history.expect_at_most_one_run(key);
         CHECK_EQUAL(std::string("in_progress"), this->chat(1, key).code);
     }
-    std::map<std::string, seen_answer> last;
+    std::map<std::string, observed_answer> last;
     const auto all_unknown = [&] {
         for (const auto& key : keys) {
             last[key] = this->chat(1, key);
         }
-        return std::all_of(last.begin(), last.end(), [](const auto& told) {
-            return told.second.code == "outcome_unknown" && told.second.run == "unknown";
+        return std::all_of(last.begin(), last.end(), [](const auto& answered) {
+            return answered.second.code == "outcome_unknown" && answered.second.run == "unknown";
         });
     };
     const bool are_unknown = eventually(all_unknown, holder_timeout);
@@ -286,7 +286,7 @@
     }
     this->fleet->routers[3].process->signal(SIGCONT);
     for (std::size_t i = 0; i < keys.size(); ++i) {
-        this->history.note(keys[i], seen_answer::of(calls[i]->wait(), once(keys[i])));
+        this->history.note(keys[i], observed_answer::of(calls[i]->wait(), once(keys[i])));
         this->chat(2, keys[i]);
     }
     LONGS_EQUAL(1, this->runs_of("running"));
@@ -300,18 +300,18 @@
 // it.
 TEST(once_test, a_claim_holder_paused_for_a_moment_leaves_one_run)
 {
-    this->tell_store({{"reply_delay_ms", late_reply_ms}});
+    this->set_store_behaviour({{"reply_delay_ms", late_reply_ms}});
     const auto call = this->claim_only(0, "short-pause");
     this->fleet->routers[0].process->signal(SIGSTOP);
-    this->tell_store({{"reply_delay_ms", 0}});
+    this->set_store_behaviour({{"reply_delay_ms", 0}});
     const auto meanwhile = this->chat(1, "short-pause");
     this->fleet->routers[0].process->signal(SIGCONT);
-    const auto first = seen_answer::of(call->wait(), once("short-pause"));
+    const auto first = observed_answer::of(call->wait(), once("short-pause"));
     this->history.note("short-pause", first);
     this->history.expect_at_most_one_run("short-pause");
     CHECK_TRUE_TEXT(meanwhile.code == "in_progress" || first.run == "not_run",
                     (meanwhile.to_text() + "; " + first.to_text()).c_str());
-    seen_answer last;
+    observed_answer last;
     const auto has_run = [&] {
         last = this->chat(1, "short-pause");
         return last.whole || last.code == "already_ran";
--- a/tests/integration/path_test.cpp
+++ b/tests/integration/path_test.cpp
@@ -33,7 +33,7 @@
             chat_request request;
             request.streamed = streamed;
             const auto answer = this->fleet->ask(router, request);
-            CHECK_TRUE_TEXT(answer.is_whole_answer_to(request), answer.to_text().c_str());
+            CHECK_TRUE_TEXT(answer.is_complete_answer_to(request), answer.to_text().c_str());
         }
     }
 }
--- a/tests/integration/planned_stop_test.cpp
+++ b/tests/integration/planned_stop_test.cpp
@@ -42,20 +42,20 @@
     auto& router = this->fleet->routers[0];
     router.process->signal(SIGTERM);
     const auto answer = call->wait();
-    CHECK_TRUE_TEXT(answer.is_whole_answer_to(request), answer.to_text().c_str());
+    CHECK_TRUE_TEXT(answer.is_complete_answer_to(request), answer.to_text().c_str());
     LONGS_EQUAL(0, router.process->wait(std::chrono::seconds(60)));
     LONGS_EQUAL(1, this->fleet->bills().size());
 }
 
 // The store is unavailable when the router gets the stop signal, and for a while after. The router
 // must wait: otherwise its bills would be kept in its peers' memory only.
-TEST(planned_stop_test, a_stop_during_an_outage_waits_until_the_bills_have_landed)
+TEST(planned_stop_test, a_stop_during_an_outage_waits_until_the_bills_are_stored)
 {
     this->start({});
     this->fleet->behave(this->fleet->store.own_address, {{"outage", true}});
     const chat_request request;
     const auto answer = this->fleet->ask(0, request);
-    CHECK_TRUE_TEXT(answer.is_whole_answer_to(request), answer.to_text().c_str());
+    CHECK_TRUE_TEXT(answer.is_complete_answer_to(request), answer.to_text().c_str());
     auto& router = this->fleet->routers[0];
     router.process->signal(SIGTERM);
     std::this_thread::sleep_for(std::chrono::seconds(3));
@@ -67,7 +67,7 @@
 
 // An operator who cannot wait sends the signal again. The router ends at once with the exit status
 // for cut-off requests, and the caller can see that its answer is incomplete.
-TEST(planned_stop_test, a_second_signal_ends_the_wait_and_says_so)
+TEST(planned_stop_test, a_second_signal_ends_the_router_at_once_with_status_1)
 {
     test_fleet::plan plan;
     plan.engine_flags = {"--step_us=50000"};
@@ -82,7 +82,7 @@
     CHECK_TRUE(router.process->is_running());
     router.process->signal(SIGTERM);
     LONGS_EQUAL(1, router.process->wait(std::chrono::seconds(60)));
-    CHECK_FALSE(call->wait().marked_whole);
+    CHECK_FALSE(call->wait().marked_complete);
 }
 
 // All engines are replaced one after the other: each is marked leaving in the host list, drains and
@@ -113,7 +113,7 @@
             return load.value("running", 1.0) + load.value("queued", 1.0) == 0.0;
         };
         std::this_thread::sleep_for(
-            std::chrono::seconds(2)); // routers have seen the list, the report is fresh
+            std::chrono::seconds(2)); // until routers have the list and a current load report
         CHECK_TRUE(eventually(ran_out));
         engine = this->fleet->start_engine(false);
         this->fleet->list_hosts();
@@ -121,6 +121,6 @@
     send_some();
     for (std::size_t i = 0; i < calls.size(); ++i) {
         const auto answer = calls[i]->wait();
-        CHECK_TRUE_TEXT(answer.is_whole_answer_to(requests[i]), answer.to_text().c_str());
+        CHECK_TRUE_TEXT(answer.is_complete_answer_to(requests[i]), answer.to_text().c_str());
     }
 }
--- a/tests/integration/rollout_test.cpp
+++ b/tests/integration/rollout_test.cpp
@@ -60,7 +60,7 @@
     {
         const chat_request request;
         const auto answer = fleet.ask(router, request);
-        if (!answer.is_whole_answer_to(request)) {
+        if (!answer.is_complete_answer_to(request)) {
             ++this->failed;
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
             return;
@@ -136,7 +136,7 @@
     }
 
     // Number of requests that reached the version, whatever their outcome.
-    std::size_t callers_that_met(const std::string& version)
+    std::size_t requests_that_reached(const std::string& version)
     {
         std::set<std::string> requests;
         for (const auto& run : this->fleet->runs()) {
@@ -149,20 +149,20 @@
 
     // Resends one request through the router until it is answered. Returns whether it reached the
     // new version.
-    bool meets_new_version(std::size_t router)
+    bool reaches_new_version(std::size_t router)
     {
-        const auto before = this->callers_that_met(new_version);
+        const auto before = this->requests_that_reached(new_version);
         const chat_request request;
         CHECK_TRUE(eventually(
-            [&] { return this->fleet->ask(router, request).is_whole_answer_to(request); }));
-        return this->callers_that_met(new_version) > before;
+            [&] { return this->fleet->ask(router, request).is_complete_answer_to(request); }));
+        return this->requests_that_reached(new_version) > before;
     }
 };
 
 // The new version answers with an error only after a while. Many concurrent callers on all routers
 // could send more requests to it than allowed before the first error is reported. In the complete
 // fleet at most the 25 requests of the first step may reach it, without an operator's intervention.
-TEST(rollout_test, a_version_that_fails_outright_meets_at_most_its_first_step_and_is_withdrawn)
+TEST(rollout_test, a_version_that_fails_outright_reaches_at_most_its_first_step_and_is_withdrawn)
 {
     this->break_new_version();
     for (const auto& engine : this->fleet->engines) {
@@ -175,12 +175,12 @@
     CHECK_TRUE(eventually([&] { return callers.by_old > before + 100; }));
     callers.stop();
     CHECK_TRUE(this->is_withdrawn());
-    const auto met = this->callers_that_met(new_version);
-    UT_PRINT(StringFromFormat("met the version: %d, failed: %d", static_cast<int>(met),
+    const auto reached = this->requests_that_reached(new_version);
+    UT_PRINT(StringFromFormat("reached the version: %d, failed: %d", static_cast<int>(reached),
                               callers.failed.load())
                  .asCharString());
-    CHECK_TRUE(met > 0);
-    CHECK_TRUE_TEXT(met <= 25, std::to_string(met).c_str());
+    CHECK_TRUE(reached > 0);
+    CHECK_TRUE_TEXT(reached <= 25, std::to_string(reached).c_str());
     CHECK_TRUE(callers.failed <= 25);
 }
 
@@ -204,7 +204,7 @@
 
 // The router that controls the rollout is killed after the first step. When its lease has expired,
 // another router must take over the duty and continue the same attempt at the recorded step.
-TEST(rollout_test, another_router_goes_on_where_a_killed_holder_stopped)
+TEST(rollout_test, another_router_continues_where_a_killed_holder_stopped)
 {
     this->fleet->apply(with_rollout("step_seconds: 3"));
     model_callers callers(*this->fleet);
@@ -231,7 +231,7 @@
     }
     LONGS_EQUAL(1, times_on_step_1);
     LONGS_EQUAL(2, last_step);
-    LONGS_EQUAL(2, attempts.size()); // none as the operator stated it, and one since
+    LONGS_EQUAL(2, attempts.size()); // none in the operator's revision, and one since
     CHECK_FALSE(this->is_withdrawn());
 }
 
@@ -253,18 +253,18 @@
 // The store is unavailable, so no duty holder can act. One router finds from its own callers that
 // the version has turned bad. The next router must learn of it by gossip: from its own evidence
 // alone it would send 13 callers to the version, and each further router as many again.
-TEST(rollout_test, a_router_hears_of_a_bad_version_from_another_while_the_store_is_out)
+TEST(rollout_test, a_router_learns_of_a_bad_version_from_another_during_an_outage)
 {
     this->fleet->apply(with_rollout("state: done"));
-    CHECK_TRUE(this->meets_new_version(0));
-    CHECK_TRUE(this->meets_new_version(1));
+    CHECK_TRUE(this->reaches_new_version(0));
+    CHECK_TRUE(this->reaches_new_version(1));
     this->break_new_version();
     this->fleet->behave(this->fleet->store.own_address, {{"outage", true}});
-    CHECK_TRUE(eventually([this] { return !this->meets_new_version(0); }));
-    int met_by_next = 0;
-    while (this->meets_new_version(1)) {
-        ++met_by_next;
+    CHECK_TRUE(eventually([this] { return !this->reaches_new_version(0); }));
+    int reached_by_next = 0;
+    while (this->reaches_new_version(1)) {
+        ++reached_by_next;
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
     }
-    CHECK_TRUE_TEXT(met_by_next < 13, std::to_string(met_by_next).c_str());
+    CHECK_TRUE_TEXT(reached_by_next < 13, std::to_string(reached_by_next).c_str());
 }
--- a/tests/support/byte_fuzzing.hpp
+++ b/tests/support/byte_fuzzing.hpp
@@ -20,36 +20,36 @@
 
 using namespace std::string_view_literals;
 
-// Draws bytes for parsers: valid examples with some changes, and now and then pure noise. Equal
-// seeds draw equal bytes.
+// Generates input for parsers: mutated valid examples and occasionally pure noise. Equal seeds
+// generate equal bytes.
 class byte_mutator {
 public:
     explicit byte_mutator(std::uint64_t seed) : source(seed) {}
 
-    // One of the examples, changed in one to eight places; noise where there is no example.
+    // One of the examples with one to eight mutations; noise if there is no example.
     std::string draw(const std::vector<std::string>& examples)
     {
         constexpr std::size_t noise_share = 16;
-        constexpr std::size_t most_changes = 8;
+        constexpr std::size_t max_mutations = 8;
         if (examples.empty() || this->below(noise_share) == 0) {
             return this->noise();
         }
         std::string bytes = examples[this->below(examples.size())];
-        const std::size_t changes = 1 + this->below(most_changes);
-        for (std::size_t change = 0; change < changes && bytes.size() < largest; ++change) {
+        const std::size_t changes = 1 + this->below(max_mutations);
+        for (std::size_t change = 0; change < changes && bytes.size() < max_size; ++change) {
             this->change(bytes, examples);
         }
         return bytes;
     }
 
-    // The bytes cut into pieces of one to twelve bytes, or now and then in two.
+    // Splits the bytes into pieces of one to twelve bytes, or occasionally in two.
     std::vector<std::string_view> split(std::string_view bytes)
     {
-        constexpr std::size_t longest_piece = 12;
+        constexpr std::size_t max_piece_size = 12;
         const bool in_two = this->below(4) == 0;
         std::vector<std::string_view> pieces;
         while (!bytes.empty()) {
-            const std::size_t bound = in_two && pieces.empty() ? bytes.size() : longest_piece;
+            const std::size_t bound = in_two && pieces.empty() ? bytes.size() : max_piece_size;
             const std::size_t length =
                 in_two && !pieces.empty() ? bytes.size() : 1 + this->below(bound);
             pieces.push_back(bytes.substr(0, length));
@@ -58,19 +58,19 @@
         return pieces;
     }
 
-    // A number from 0 to one less than `bound`, which is above zero.
+    // A random number from 0 to `bound` - 1; `bound` must be above zero.
     std::size_t below(std::size_t bound)
     {
         return static_cast<std::size_t>(this->source() % bound);
     }
 
 private:
-    static constexpr std::size_t largest = std::size_t{1} << 20U;
+    static constexpr std::size_t max_size = std::size_t{1} << 20U;
 
     std::string noise()
     {
-        constexpr std::size_t longest_noise = 300;
-        std::string bytes(this->below(longest_noise), '\0');
+        constexpr std::size_t max_noise_size = 300;
+        std::string bytes(this->below(max_noise_size), '\0');
         for (char& byte : bytes) {
             byte = this->byte();
         }
@@ -88,8 +88,8 @@
         return bytes.substr(this->below(bytes.size()), 1 + this->below(longest));
     }
 
-    // Texts at which parsers have gone wrong: limits of numbers, ends of lines, what is not UTF-8.
-    std::string awkward_text()
+    // Texts that commonly break parsers: limits of numbers, line endings, invalid UTF-8.
+    std::string edge_case_text()
     {
         static constexpr std::array texts = {"-1"sv,
                                              "0"sv,
@@ -135,19 +135,20 @@
 
     std::string nesting()
     {
-        constexpr std::size_t deepest = 3000;
-        constexpr std::size_t abyss = 100'000; // more than a stack holds of most functions
+        constexpr std::size_t max_depth = 3000;
+        constexpr std::size_t overflow_depth =
+            100'000; // exceeds the stack for most recursive functions
         static const std::array<std::string_view, 4> openings = {"[", "{\"a\":", "{a: ", "- "};
         const auto opening = openings[this->below(openings.size())];
         std::string text;
-        for (std::size_t depth = this->below(this->below(4) == 0 ? abyss : deepest); depth > 0;
-             --depth) {
+        for (std::size_t depth = this->below(this->below(4) == 0 ? overflow_depth : max_depth);
+             depth > 0; --depth) {
             text += opening;
         }
         return text;
     }
 
-    // Replaces a number by an awkward text, so that the rest of the bytes stays what it was.
+    // Replaces a number by an edge case and leaves the other bytes unchanged.
     void change_number(std::string& bytes)
     {
         constexpr std::string_view digits = "0123456789";
@@ -156,7 +157,7 @@
             return;
         }
         const auto end = std::min(bytes.find_first_not_of(digits, begin), bytes.size());
-        bytes.replace(begin, end - begin, this->awkward_text());
+        bytes.replace(begin, end - begin, this->edge_case_text());
     }
 
     void change(std::string& bytes, const std::vector<std::string>& examples)
@@ -188,14 +189,14 @@
             this->change_number(bytes);
             return;
         case 6:
-            bytes.insert(at, this->awkward_text());
+            bytes.insert(at, this->edge_case_text());
             return;
         case 7:
             bytes.resize(at);
             return;
         default:
-            bytes.insert(at,
-                         this->below(nesting_share) == 0 ? this->nesting() : this->awkward_text());
+            bytes.insert(at, this->below(nesting_share) == 0 ? this->nesting()
+                                                             : this->edge_case_text());
             return;
         }
     }
@@ -203,8 +204,8 @@
     std::mt19937_64 source;
 };
 
-// The bytes as C++ would write them, for a regression test.
-inline std::string written_out(std::string_view bytes)
+// The bytes as a C++ string literal, for a regression test.
+inline std::string to_escaped_literal(std::string_view bytes)
 {
     static constexpr std::string_view digits = "0123456789abcdef";
     std::string text;
@@ -219,19 +220,19 @@
     return text;
 }
 
-// How much is tried. A run by hand sets PEARHAVEN_FUZZ_SECONDS, for each property,
-// PEARHAVEN_FUZZ_SEED, and PEARHAVEN_FUZZ_KEEP, a file that holds the bytes under trial, to be
-// found there after a crash.
+// The number of rounds or the time to fuzz each property. Settings for manual runs:
+// PEARHAVEN_FUZZ_SECONDS (for each property), PEARHAVEN_FUZZ_SEED, and PEARHAVEN_FUZZ_KEEP, a file
+// to which the current bytes are written so that they are available after a crash.
 class fuzz_plan {
 public:
-    explicit fuzz_plan(std::size_t usual_rounds)
-        : rounds(usual_rounds * number_in("PEARHAVEN_FUZZ_TIMES", 1)),
+    explicit fuzz_plan(std::size_t default_rounds)
+        : rounds(default_rounds * number_in("PEARHAVEN_FUZZ_TIMES", 1)),
           seconds(number_in("PEARHAVEN_FUZZ_SECONDS", 0))
     {}
 
     static std::uint64_t seed() { return number_in("PEARHAVEN_FUZZ_SEED", 20261202); }
 
-    [[nodiscard]] bool goes_on(std::size_t round) const
+    [[nodiscard]] bool has_next_round(std::size_t round) const
     {
         if (this->seconds == 0) {
             return round < this->rounds;
@@ -249,10 +250,10 @@
     }
 
 private:
-    static std::uint64_t number_in(const char* variable, std::uint64_t otherwise)
+    static std::uint64_t number_in(const char* variable, std::uint64_t fallback)
     {
         const char* const text = std::getenv(variable);
-        return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+        return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
     }
 
     std::size_t rounds;
@@ -260,16 +261,16 @@
     std::chrono::steady_clock::time_point start = std::chrono::steady_clock::now();
 };
 
-// Tries a property on drawn bytes. It says whether it holds, and may draw more, such as splits.
-// Gives the first bytes for which it does not hold or throws, written out with the cause; empty
-// when there are none.
+// Checks a property on generated bytes. The property returns whether it holds and may draw further
+// random values, such as splits. Returns the first bytes for which it does not hold or throws, as a
+// literal with the cause; empty if there are none.
 inline std::string
-first_fault(const std::vector<std::string>& examples, std::size_t usual_rounds,
+first_fault(const std::vector<std::string>& examples, std::size_t default_rounds,
             const std::function<bool(const std::string&, byte_mutator&)>& property)
 {
-    const fuzz_plan plan(usual_rounds);
+    const fuzz_plan plan(default_rounds);
     byte_mutator mutator(fuzz_plan::seed());
-    for (std::size_t round = 0; plan.goes_on(round); ++round) {
+    for (std::size_t round = 0; plan.has_next_round(round); ++round) {
         const auto bytes = mutator.draw(examples);
         fuzz_plan::keep(bytes);
         std::string wrong;
@@ -279,8 +280,8 @@
             wrong = std::string("throws ") + error.what();
         }
         if (!wrong.empty()) {
-            return wrong + " in round " + std::to_string(round) + ": \"" + written_out(bytes) +
-                   "\"";
+            return wrong + " in round " + std::to_string(round) + ": \"" +
+                   to_escaped_literal(bytes) + "\"";
         }
     }
     return {};
--- a/tests/support/chat_call.cpp
+++ b/tests/support/chat_call.cpp
@@ -24,7 +24,7 @@
     answer.resend = error.value("resend", false);
 }
 
-// Reads the events of a finished stream.
+// Parses the events of a finished stream.
 void read_events(chat_answer& answer)
 {
     bool closed = false;
@@ -40,7 +40,7 @@
         }
         const auto data = event.substr(data_at + 6);
         if (data == "[DONE]") {
-            answer.marked_whole = closed && begin >= answer.body.size();
+            answer.marked_complete = closed && begin >= answer.body.size();
             continue;
         }
         const auto parsed = json::parse(data, nullptr, false);
@@ -60,13 +60,13 @@
     }
 }
 
-void read_whole(chat_answer& answer)
+void read_unstreamed_body(chat_answer& answer)
 {
     const auto parsed = json::parse(answer.body, nullptr, false);
     read_error(parsed, answer);
     if (parsed.is_object() && parsed.contains("choices")) {
         answer.tokens.push_back(parsed["choices"].at(0)["message"]["content"].get<std::string>());
-        answer.marked_whole = true;
+        answer.marked_complete = true;
     }
 }
 
@@ -93,7 +93,7 @@
 
 } // namespace
 
-bool chat_answer::is_whole_answer_to(const chat_request& request) const
+bool chat_answer::is_complete_answer_to(const chat_request& request) const
 {
     std::string text;
     for (const auto& token : this->tokens) {
@@ -102,7 +102,8 @@
     const auto prompt = standins::chat_prompt({{"user", request.prompt}});
     const auto right =
         standins::answer_text(prompt, this->header("pearhaven-version"), request.max_tokens);
-    return this->status == 200 && this->marked_whole && this->error_code.empty() && text == right;
+    return this->status == 200 && this->marked_complete && this->error_code.empty() &&
+           text == right;
 }
 
 std::string chat_answer::header(const std::string& name) const
@@ -114,7 +115,7 @@
 std::string chat_answer::to_text() const
 {
     return "status " + std::to_string(this->status) + ", " + std::to_string(this->tokens.size()) +
-           " tokens, " + (this->marked_whole ? "whole" : "not whole") + ", code \"" +
+           " tokens, " + (this->marked_complete ? "whole" : "not whole") + ", code \"" +
            this->error_code + "\", run \"" + this->run + "\", body: " + this->body.substr(0, 400);
 }
 
@@ -166,37 +167,38 @@
 
 chat_call::chat_call(adapters::http_client& client, const std::string& router,
                      const chat_request& request)
-    : http(client), heard(new listener)
+    : http(client), received(new listener)
 {
-    this->exchange = this->http.start(to_http(router, request), this->heard);
+    this->exchange = this->http.start(to_http(router, request), this->received);
 }
 
 chat_call::~chat_call() = default;
 
 chat_answer chat_call::wait(std::chrono::seconds patience)
 {
-    std::unique_lock guard(this->heard->mutex);
-    if (!this->heard->changed.wait_for(guard, patience, [this] { return this->heard->ended; })) {
+    std::unique_lock guard(this->received->mutex);
+    if (!this->received->changed.wait_for(guard, patience,
+                                          [this] { return this->received->ended; })) {
         throw std::runtime_error("the answer did not end in time: " +
-                                 this->heard->answer.to_text());
+                                 this->received->answer.to_text());
     }
-    auto answer = this->heard->answer;
+    auto answer = this->received->answer;
     if (answer.header("content-type").rfind("text/event-stream", 0) == 0) {
         read_events(answer);
     } else {
-        read_whole(answer);
+        read_unstreamed_body(answer);
     }
-    answer.marked_whole = answer.marked_whole && !this->heard->broken;
+    answer.marked_complete = answer.marked_complete && !this->received->broken;
     return answer;
 }
 
 bool chat_call::wait_for_tokens(std::size_t count, std::chrono::seconds patience)
 {
-    std::unique_lock guard(this->heard->mutex);
-    this->heard->changed.wait_for(guard, patience, [this, count] {
-        return this->heard->ended || this->heard->count_tokens() >= count;
+    std::unique_lock guard(this->received->mutex);
+    this->received->changed.wait_for(guard, patience, [this, count] {
+        return this->received->ended || this->received->count_tokens() >= count;
     });
-    return this->heard->count_tokens() >= count;
+    return this->received->count_tokens() >= count;
 }
 
 void chat_call::hang_up()
--- a/tests/support/chat_call.hpp
+++ b/tests/support/chat_call.hpp
@@ -15,7 +15,7 @@
 
 using header_map = std::map<std::string, std::string>; // names in lower case
 
-// What one caller sends.
+// A chat request of one caller.
 struct chat_request {
     std::string team_key = "key-of-deposits";
     std::string model = "adjudicator";
@@ -25,25 +25,26 @@
     header_map headers;
 };
 
-// What that caller saw.
+// The answer as that caller received it.
 struct chat_answer {
     int status = 0; // 0: no answer at all
     header_map headers;
-    std::string body;                // as it came
+    std::string body;                // unparsed
     std::vector<std::string> tokens; // contents, in the order of arrival
-    bool marked_whole = false; // a closing event and the end marker came, and nothing after them
-    std::string error_code;    // of a failure, also in the middle of a stream
-    std::string run;           // not_run, ran or unknown
+    bool marked_complete = false;    // a closing event and then the end marker came last
+    std::string error_code;          // of a failure, also in the middle of a stream
+    std::string run;                 // not_run, ran or unknown
     bool resend = false;
 
-    // Whether it is the whole right answer of the engine stand-in's model for this request.
-    [[nodiscard]] bool is_whole_answer_to(const chat_request& request) const;
+    // Whether it is the complete and correct answer of the simulated engine's model to this
+    // request.
+    [[nodiscard]] bool is_complete_answer_to(const chat_request& request) const;
 
     [[nodiscard]] std::string header(const std::string& name) const;
     [[nodiscard]] std::string to_text() const; // for messages of failing tests
 };
 
-// One call of a chat completion, running beside the test.
+// One chat completion call, running concurrently with the test.
 class chat_call {
 public:
     chat_call(adapters::http_client& client, const std::string& router,
@@ -52,21 +53,21 @@
     chat_call(const chat_call&) = delete;
     chat_call& operator=(const chat_call&) = delete;
 
-    // Waits for the answer's end. Throws when it has not come within `patience`.
+    // Waits for the end of the answer. Throws when it has not come within `patience`.
     chat_answer wait(std::chrono::seconds patience = std::chrono::seconds(60));
 
-    // Waits until so many tokens have come; false when the answer ended before.
+    // Waits for this many tokens; false when the answer ended before.
     bool wait_for_tokens(std::size_t count,
                          std::chrono::seconds patience = std::chrono::seconds(60));
 
-    // The caller hangs up.
+    // Cancels the call as the caller.
     void hang_up();
 
 private:
     class listener;
 
     adapters::http_client& http;
-    boost::intrusive_ptr<listener> heard;
+    boost::intrusive_ptr<listener> received;
     adapters::exchange_number exchange = 0;
 };
 
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -22,12 +22,12 @@
 constexpr std::chrono::milliseconds poll_step{10};
 constexpr int killed_by_signal = 128;
 
-// What a program ends with when a sanitizer that it was built with finds a fault: `exitcode` of the
-// options that CMakeLists.txt gives to the tests.
+// Exit status of a program in which a sanitizer found a fault: `exitcode` of the options that
+// CMakeLists.txt passes to the tests.
 constexpr int status_of_sanitizer = 99;
 
-// Lets a test go on after a failure, which a destructor may not leave by a jump.
-class goes_on final : public TestTerminator {
+// Lets a test continue after a failure, since a destructor must not be left by a jump.
+class continue_terminator final : public TestTerminator {
 public:
     void exitCurrentTest() const override {}
 };
@@ -57,9 +57,9 @@
     return list;
 }
 
-// What the child does between fork and exec: nothing that allocates or locks, since the test's
-// other threads may hold any lock. It dies with the test, however that ends: a test that is killed
-// for its time-out would otherwise leave a fleet running.
+// Runs in the child between fork and exec. It must not allocate or lock, since the test's other
+// threads may hold any lock. The child is killed when the test ends in any way: a test killed for
+// its timeout would otherwise leave a fleet running.
 [[noreturn]] void become(const std::vector<char*>& arguments, const std::vector<char*>& variables,
                          int output, const char* error_file)
 {
@@ -103,11 +103,11 @@
 {
     this->kill();
     close(this->output);
-    // Tests carry on when a program dies, as some want it to; one that dies of a sanitizer would
-    // be taken for such.
+    // Some tests expect a program to be killed and continue; an exit by a sanitizer must not pass
+    // for that.
     if (this->status == status_of_sanitizer) {
-        const auto why = "a program died of a sanitizer, see " + this->log;
-        UtestShell::getCurrent()->fail(why.c_str(), __FILE__, __LINE__, goes_on());
+        const auto why = "a sanitizer ended a program, see " + this->log;
+        UtestShell::getCurrent()->fail(why.c_str(), __FILE__, __LINE__, continue_terminator());
     }
 }
 
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -11,13 +11,13 @@
 
 namespace pearhaven::tests {
 
-// A program that a test started. It is killed when the test lets go of it, and the test fails if a
-// sanitizer has ended it.
+// A program started by a test. The destructor kills it, and fails the test if a sanitizer has ended
+// it.
 class child_process {
 public:
     using environment = std::map<std::string, std::string>;
 
-    // The first argument is the program. Standard error goes to the file; throws std::system_error
+    // The first argument is the program. Standard error goes to the file. Throws std::system_error
     // when the process cannot be started.
     child_process(const std::vector<std::string>& arguments, const environment& variables,
                   const std::string& error_file);
@@ -25,18 +25,18 @@
     child_process(const child_process&) = delete;
     child_process& operator=(const child_process&) = delete;
 
-    // What stands behind the prefix on the first line of standard output that begins with it. Fails
-    // the test (by an exception) when the process ends or `patience` runs out first.
+    // Returns the rest of the first line of standard output that begins with the prefix. Fails the
+    // test (by an exception) when the process ends or `patience` expires first.
     std::string wait_for_line(const std::string& prefix, std::chrono::seconds patience);
 
-    // Everything that is left of standard output, up to its end.
+    // The rest of standard output, up to its end.
     std::string read_output();
 
     void signal(int number) const;
     void kill();
 
-    // Exit status, or 128 and the signal's number. Throws when the process runs on after
-    // `patience`.
+    // Returns the exit status, or 128 + the signal's number. Throws when the process is still
+    // running after `patience`.
     int wait(std::chrono::seconds patience);
 
     [[nodiscard]] bool is_running();
--- a/tests/support/loop_script.hpp
+++ b/tests/support/loop_script.hpp
@@ -22,8 +22,8 @@
 
 namespace pearhaven::tests {
 
-// A test's end of a connection over loopback, used on the thread of the loop under test: nothing
-// here waits.
+// The test's end of a loopback connection, for use on the thread of the loop under test: no call
+// blocks.
 class script_socket {
 public:
     explicit script_socket(int connected) : socket(connected)
@@ -34,7 +34,7 @@
     script_socket(const script_socket&) = delete;
     script_socket& operator=(const script_socket&) = delete;
 
-    // The connection stands when this returns: the listening queue takes it.
+    // Connected when this returns: the listen queue accepts it.
     static std::unique_ptr<script_socket> connect(std::uint16_t port)
     {
         const int opened = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -53,14 +53,14 @@
         return address;
     }
 
-    // What the connection does not take is left for `flush`.
+    // Bytes that the connection does not accept now are kept for `flush`.
     void send(std::string_view bytes)
     {
         this->unsent.append(bytes);
         this->flush();
     }
 
-    // Bytes that still wait.
+    // Returns the number of unsent bytes.
     std::size_t flush()
     {
         ssize_t count = 0;
@@ -71,7 +71,7 @@
         return this->unsent.size();
     }
 
-    // All that has come so far.
+    // All bytes received so far.
     const std::string& received()
     {
         char piece[64U << 10U];
@@ -88,8 +88,8 @@
         return this->received().find(part) != std::string::npos;
     }
 
-    // As `has`, for the last bytes of what has grown long: to look through all of it at each step
-    // took longer than the test under ThreadSanitizer.
+    // Like `has`, for the last bytes of long data: searching all of it at each step exceeded the
+    // test's timeout under ThreadSanitizer.
     [[nodiscard]] bool ends_with(std::string_view part) { return this->received().ends_with(part); }
 
     // Whether the other end has closed or reset the connection.
@@ -99,7 +99,7 @@
         return this->ended;
     }
 
-    // The other end's next use of the connection fails.
+    // Makes the other end's next use of the connection fail.
     void reset()
     {
         const linger at_once{1, 0};
@@ -121,7 +121,7 @@
     bool ended = false;
 };
 
-// A listening end whose connections a test serves by hand.
+// A listening socket whose connections the test serves itself.
 class script_listener {
 public:
     script_listener() : listening(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0))
@@ -143,7 +143,7 @@
         return ntohs(address.sin_port);
     }
 
-    // Those accepted so far, oldest first.
+    // The connections accepted so far, oldest first.
     std::vector<std::unique_ptr<script_socket>>& connections()
     {
         int next = -1;
@@ -158,11 +158,11 @@
     std::vector<std::unique_ptr<script_socket>> accepted;
 };
 
-// What a test does on the loop: each step waits for its condition. What one step does meets the
-// code under test all at once, before the loop can notice a part of it.
+// A test's steps on the loop; each waits for its condition. The code under test sees all effects of
+// one step at once, before the loop can process a part of them.
 class loop_script {
 public:
-    explicit loop_script(adapters::event_loop& runs_on) : loop(runs_on) {}
+    explicit loop_script(adapters::event_loop& test_loop) : loop(test_loop) {}
 
     loop_script& when(std::function<bool()> condition, std::function<void()> act)
     {
@@ -175,18 +175,18 @@
         return this->when(std::move(condition), [] {});
     }
 
-    // Runs the loop until all steps have been taken. False when one still waits after a generous
+    // Runs the loop until all steps are done. Returns false if one still waits after a generous
     // time. A loop runs once.
     [[nodiscard]] bool run()
     {
         this->limit = adapters::event_loop::read_clock() + std::chrono::seconds(60);
-        this->look();
+        this->check_next_step();
         this->loop.run();
         return this->steps.empty();
     }
 
 private:
-    void look()
+    void check_next_step()
     {
         if (!this->steps.empty() && this->steps.front().first()) {
             const auto step = std::move(this->steps.front());
@@ -197,7 +197,7 @@
             this->loop.stop();
             return;
         }
-        this->loop.after(std::chrono::milliseconds(1), [this] { this->look(); });
+        this->loop.after(std::chrono::milliseconds(1), [this] { this->check_next_step(); });
     }
 
     adapters::event_loop& loop;
--- a/tests/support/run_history.cpp
+++ b/tests/support/run_history.cpp
@@ -51,15 +51,15 @@
 
 } // namespace
 
-seen_answer seen_answer::of(const chat_answer& answer, const chat_request& request)
+observed_answer observed_answer::of(const chat_answer& answer, const chat_request& request)
 {
-    return {answer.is_whole_answer_to(request), answer.status, answer.run, answer.error_code,
+    return {answer.is_complete_answer_to(request), answer.status, answer.run, answer.error_code,
             answer.header("retry-after")};
 }
 
-seen_answer seen_answer::of(const adapters::http_answer& answer)
+observed_answer observed_answer::of(const adapters::http_answer& answer)
 {
-    seen_answer seen;
+    observed_answer seen;
     seen.status = answer.result.status;
     seen.whole = !answer.result.error && seen.status == status_ok;
     for (const auto& [name, value] : answer.headers) {
@@ -73,7 +73,7 @@
     return seen;
 }
 
-std::string seen_answer::to_text() const
+std::string observed_answer::to_text() const
 {
     return std::string(this->whole ? "whole" : "not whole") + ", status " +
            std::to_string(this->status) + ", code \"" + this->code + "\", run \"" + this->run +
@@ -85,7 +85,7 @@
     return adapters::sha256_hex("deposits\n" + idempotency_key).substr(0, request_digits);
 }
 
-void run_history::note(const std::string& idempotency_key, const seen_answer& answer)
+void run_history::note(const std::string& idempotency_key, const observed_answer& answer)
 {
     const std::lock_guard guard(this->mutex);
     this->requests[request_of(idempotency_key)].answers.push_back(answer);
@@ -105,21 +105,21 @@
     } catch (const std::runtime_error& problem) {
         answer.body = problem.what();
     }
-    this->note(request.headers.at("idempotency-key"), seen_answer::of(answer, request));
+    this->note(request.headers.at("idempotency-key"), observed_answer::of(answer, request));
     return answer;
 }
 
-bool run_history::request_notes::has_whole() const
+bool run_history::request_notes::has_complete_answer() const
 {
     return std::any_of(this->answers.begin(), this->answers.end(),
-                       [](const seen_answer& answer) { return answer.whole; });
+                       [](const observed_answer& answer) { return answer.whole; });
 }
 
-bool run_history::request_notes::is_not_run_only() const
+bool run_history::request_notes::is_only_not_run() const
 {
     return !this->answers.empty() &&
            std::all_of(this->answers.begin(), this->answers.end(),
-                       [](const seen_answer& answer) { return answer.run == "not_run"; });
+                       [](const observed_answer& answer) { return answer.run == "not_run"; });
 }
 
 std::vector<std::string> run_history::check(const std::vector<json>& runs) const
@@ -130,14 +130,15 @@
     for (const auto& [request, notes] : this->requests) {
         const auto its_runs = runs_of(grouped, request);
         const auto count = std::to_string(its_runs.size());
-        if (notes.is_not_run_only() && !its_runs.empty()) {
+        if (notes.is_only_not_run() && !its_runs.empty()) {
             violations.push_back(
                 violation(request, "expected no run after not_run, found " + count));
         }
         if (notes.at_most_one_run && its_runs.size() > 1) {
             violations.push_back(violation(request, "expected at most 1 run, found " + count));
         }
-        if (notes.has_whole() && std::none_of(its_runs.begin(), its_runs.end(), is_finished)) {
+        if (notes.has_complete_answer() &&
+            std::none_of(its_runs.begin(), its_runs.end(), is_finished)) {
             violations.push_back(
                 violation(request, "expected a finished run behind its whole answer, found none"));
         }
@@ -165,7 +166,7 @@
     }
     const std::lock_guard guard(this->mutex);
     for (const auto& [request, notes] : this->requests) {
-        if (notes.has_whole() && billed.count(request) == 0) {
+        if (notes.has_complete_answer() && billed.count(request) == 0) {
             violations.push_back(
                 violation(request, "expected 1 bill for its whole answer, found none"));
         }
@@ -173,12 +174,12 @@
     return violations;
 }
 
-std::size_t run_history::count_whole() const
+std::size_t run_history::count_complete() const
 {
     const std::lock_guard guard(this->mutex);
     return static_cast<std::size_t>(
         std::count_if(this->requests.begin(), this->requests.end(),
-                      [](const auto& entry) { return entry.second.has_whole(); }));
+                      [](const auto& entry) { return entry.second.has_complete_answer(); }));
 }
 
 std::string join(const std::vector<std::string>& lines)
--- a/tests/support/test_fleet.cpp
+++ b/tests/support/test_fleet.cpp
@@ -100,8 +100,8 @@
 test_fleet::~test_fleet()
 {
     this->client->stop();
-    // Logs of a failed test are kept; its folder is named after the process, so that several runs
-    // of one test do not overwrite each other's files.
+    // The logs of a failed test are kept. The process id in the folder's name prevents concurrent
+    // runs of one test from overwriting each other's files.
     if (!UtestShell::getCurrent()->hasFailed()) {
         std::filesystem::remove_all(this->folder);
     }
@@ -119,7 +119,7 @@
 running_standin test_fleet::start_standin(const std::string& program,
                                           const std::vector<std::string>& flags, bool proxied)
 {
-    // Fewer threads than the stand-ins' default: several fleets run side by side in CI.
+    // Fewer threads than the default, since several fleets run in parallel in CI.
     std::vector<std::string> all = {"--listen=127.0.0.1:0", "--threads=128"};
     all.insert(all.end(), flags.begin(), flags.end());
     running_standin started;
@@ -165,7 +165,7 @@
         to_request("POST", "http://" + this->hosts.own_address + "/control/set", list.dump()),
         largest_answer);
     if (answer.result.status != 200) {
-        throw std::runtime_error("the host list refused: " + answer.body);
+        throw std::runtime_error("the host list was refused: " + answer.body);
     }
 }
 
@@ -238,7 +238,7 @@
         });
     };
     if (!eventually(all_joined, start_patience)) {
-        throw std::runtime_error("the routers do not know each other");
+        throw std::runtime_error("the routers have not joined each other");
     }
 }
 
@@ -264,7 +264,7 @@
     }
 }
 
-// The digest is that of `key-of-deposits`, and of `key-of-agents` for the second team.
+// The digests are those of `key-of-deposits` and, for the second team, `key-of-agents`.
 std::string test_fleet::base_configuration()
 {
     return R"(kind: team
@@ -307,7 +307,7 @@
         client, to_request("POST", "http://" + address + "/control/behave", behaviours.dump()),
         largest_answer);
     if (answer.result.status != 200) {
-        throw std::runtime_error(address + " does not behave: " + answer.body);
+        throw std::runtime_error(address + " rejected the behaviour: " + answer.body);
     }
 }
 
--- a/tests/support/test_fleet.hpp
+++ b/tests/support/test_fleet.hpp
@@ -15,8 +15,8 @@
 
 namespace pearhaven::tests {
 
-// A stand-in or the proxy before one. `address` is where it is to be reached (its proxy, if it has
-// one).
+// A simulated engine, service or platform component, with the proxy before it, if any. `address` is
+// the one to connect to (that of the proxy, if there is one).
 struct running_standin {
     std::unique_ptr<child_process> process;
     std::string own_address;
@@ -37,23 +37,24 @@
     std::string store_url;
 };
 
-// What one command of pearhavenctl gave.
+// Result of one command of pearhavenctl.
 struct command_result {
     int status = -1;
     std::string output;
 };
 
-// The platform's stand-ins, engines, plain services and routers of one test, all real processes on
-// 127.0.0.1 that end with the test.
+// The simulated platform, engines and plain services and the routers of one test, all real
+// processes on 127.0.0.1 that end with the test.
 class test_fleet {
 public:
     struct plan {
-        std::string name = "test"; // of the folder that the processes' logs go to
+        std::string name = "test"; // of the folder for the processes' logs
         int engines = 2;
         int plain_services = 0;
         int routers = 3;
         bool proxied_engines = false;
-        bool proxied_stores = false; // one proxy for each router, so that one can be cut off alone
+        bool proxied_stores =
+            false; // a proxy for each router, so that each can be cut off separately
         std::vector<std::string> engine_flags = {"--step_us=2000", "--step_us_per_run=50"};
         std::vector<std::string> router_flags;
         std::vector<std::string> zones = {"osu", "tema", "legon"};
@@ -68,24 +69,24 @@
     // Runs pearhavenctl against this fleet's store.
     command_result command(const std::vector<std::string>& words);
 
-    // Applies the YAML text and waits until it is in force everywhere. Throws when that fails.
+    // Applies the YAML text and waits until it is in force on all routers. Throws on failure.
     void apply(const std::string& yaml);
 
-    // Text of the configuration that every test begins with; tests append to it or replace parts.
+    // The initial configuration of every test; tests append to it or replace parts.
     static std::string base_configuration();
 
     void wait_until_ready(const running_router& router);
 
-    // Waits until every router knows every other as alive.
+    // Waits until every router has all others as members in the state alive.
     void wait_until_joined();
     running_router start_router(const std::string& zone, std::vector<std::string> more_flags = {});
 
-    // Starts a new process in place of this router, on the same callers' port.
+    // Starts a new process in place of this router, on the same caller port.
     void replace_router(running_router& router);
 
     running_standin start_engine(bool proxied, std::vector<std::string> more_flags = {});
 
-    // Puts the hosts into the host list as they are now; `leaving` ones are marked so.
+    // Updates the host list to the current hosts, with the `leaving` ones marked so.
     void list_hosts(const std::vector<std::string>& leaving = {});
 
     static void behave(adapters::http_client& client, const std::string& address,
@@ -94,16 +95,16 @@
     nlohmann::json get(const std::string& address, const std::string& path);
     nlohmann::json status(const running_router& router);
 
-    // Every run on every engine or plain service, by the stand-ins' own record.
+    // Every run that the running engines and plain services have recorded.
     std::vector<nlohmann::json> runs();
 
-    // Bills by request, folded as the operators see them.
+    // One bill for each request, merged from all pages as operators see them.
     nlohmann::json bills();
 
     std::unique_ptr<chat_call> call(std::size_t router, const chat_request& request);
     chat_answer ask(std::size_t router, const chat_request& request);
 
-    // Any call of a plain service through a router.
+    // Calls a plain service through a router.
     adapters::http_answer call_service(std::size_t router, const std::string& method,
                                        const std::string& path, const std::string& body,
                                        const header_map& headers);
@@ -128,11 +129,11 @@
     std::unique_ptr<adapters::http_client> client;
 };
 
-// Asks again and again until it is true; false when `patience` runs out first.
+// Polls until the condition is true; false when `patience` expires first.
 bool eventually(const std::function<bool()>& asked,
                 std::chrono::seconds patience = std::chrono::seconds(30));
 
-// Position of the host in the list as the fleet names it: engines first, then services.
+// Name of the host at the position among those of its kind.
 std::string host_name(const std::string& kind, std::size_t position);
 
 } // namespace pearhaven::tests
--- a/tests/support/test_main.cpp
+++ b/tests/support/test_main.cpp
@@ -10,8 +10,8 @@
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 #include <CppUTest/TestRegistry.h>
 
-// RapidCheck keeps what it allocates at its first check and at the first use of a generator;
-// without this, the leak check would count that against whichever test comes first.
+// RapidCheck keeps memory that it allocates at its first check and at the first use of a generator;
+// without this, the leak check would attribute it to whichever test runs first.
 static void warm_up_rapidcheck()
 {
     rc::check("warm-up", [] {
@@ -22,8 +22,8 @@
     });
 }
 
-// The tests that the file of known failures names: each of its lines begins with GROUP.NAME and a
-// colon. Without the variable that names the file there are none.
+// Names of the known failures from the file of PEARHAVEN_KNOWN_RED: each line begins with
+// GROUP.NAME and a colon. Empty if the variable is not set.
 static std::set<std::string> known_failures()
 {
     std::set<std::string> names;
@@ -35,8 +35,8 @@
     return names;
 }
 
-// Moves all tests but the known failures into the registry. The runner's own filters cannot do it:
-// of several names to leave out it takes a test that any one of them lets through.
+// Registers all tests except the known failures. The runner's own filters cannot do this: with
+// several exclusions they run a test that any one of them does not exclude.
 static void register_others(TestRegistry& kept, const std::set<std::string>& left_out)
 {
     std::vector<UtestShell*> tests;
@@ -57,11 +57,11 @@
 int main(int argc, char** argv)
 {
     if (std::getenv("PEARHAVEN_PLAIN_HEAP") != nullptr) {
-        // For sanitizers, which see less on the leak detector's heap.
+        // The leak detector's heap hides faults from sanitizers.
         MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     } else {
-        // The leak detector's default operators are not safe with several threads; adapters' tests
-        // have them.
+        // The leak detector's default operators are not thread-safe; the tests of adapters use
+        // threads.
         MemoryLeakWarningPlugin::turnOnThreadSafeNewDeleteOverloads();
     }
     warm_up_rapidcheck();
