--- a/benchmarks/change_main.cpp
+++ b/benchmarks/change_main.cpp
@@ -37,21 +37,21 @@
 // Mean CPU time of one run of the step, in microseconds.
 double cost_of(const std::function<void()>& step)
 {
-    constexpr std::uint64_t fewest_runs = 3;
+    constexpr std::uint64_t min_runs = 3;
     constexpr double us_per_ms = 1000.0;
     step(); // excludes one-time initialization
-    const double begun = processor_ms();
+    const double start = processor_ms();
     std::uint64_t runs = 0;
     double spent = 0.0;
-    while (runs < fewest_runs || spent < FLAGS_step_ms) {
+    while (runs < min_runs || spent < FLAGS_step_ms) {
         step();
         ++runs;
-        spent = processor_ms() - begun;
+        spent = processor_ms() - start;
     }
     return spent * us_per_ms / static_cast<double>(runs);
 }
 
-[[noreturn]] void give_up(const std::string& why)
+[[noreturn]] void fail(const std::string& why)
 {
     fmt::print(stderr, "change: {}\n", why);
     std::exit(EXIT_FAILURE);
@@ -78,7 +78,7 @@
         for (std::size_t number = 0; number < endpoints; ++number) {
             this->listed.push_back(this->endpoint_at(number));
         }
-        this->ready = this->build_anew();
+        this->ready = this->build_from_scratch();
         this->dispatcher.on_configuration(this->ready, this->now);
         this->dispatcher.on_hosts(this->listed, this->now);
         this->table.configure(*this->ready);
@@ -91,17 +91,17 @@
         std::string fault;
         auto read = platform::read_configuration(this->text, fault);
         if (!read) {
-            give_up(fault);
+            fail(fault);
         }
-        this->stated = std::move(*read);
+        this->declared = std::move(*read);
     }
 
     // Copies all routes and teams.
-    [[nodiscard]] decision::configuration_ptr build_anew()
+    [[nodiscard]] decision::configuration_ptr build_from_scratch()
     {
         decision::configuration_builder builder;
-        builder.routes(this->stated.routes);
-        for (const auto& one : this->stated.teams) {
+        builder.routes(this->declared.routes);
+        for (const auto& one : this->declared.teams) {
             decision::team made;
             made.name = one.name;
             made.key_sha256 = one.key_sha256;
@@ -111,7 +111,7 @@
         return builder.build();
     }
 
-    [[nodiscard]] decision::configuration_ptr build_of_parts()
+    [[nodiscard]] decision::configuration_ptr build_sharing_parts()
     {
         decision::configuration_builder builder;
         builder.routes(this->ready->shared_routes()).teams(this->ready->shared_teams());
@@ -125,19 +125,19 @@
         const auto path = platform::stated_prefix(number) + "item?query";
         const auto host = platform::stated_host(number % hosts) + ":8080";
         if (this->ready->routes().find(host, path) == nullptr) {
-            give_up("a route was not found");
+            fail("a route was not found");
         }
     }
 
     // An endpoint restarts, and the next request is sent to its service.
-    void change_in_whole_list()
+    void change_in_full_list()
     {
         auto& one = this->changed_endpoint();
         this->table.set_hosts(this->listed, this->now);
         this->choose(one);
     }
 
-    void change_alone()
+    void change_one_host()
     {
         auto& one = this->changed_endpoint();
         this->table.set_host(one, this->now);
@@ -145,16 +145,13 @@
     }
 
     // Sent to the other routers many times a second, even if nothing changed.
-    void tell_loads() const { static_cast<void>(this->table.own_loads()); }
+    void report_loads() const { static_cast<void>(this->table.own_loads()); }
 
     // The next configuration differs only in its revision.
-    void hand_over_the_same()
-    {
-        this->dispatcher.on_configuration(this->next_of_the_same(), this->now);
-    }
+    void apply_same() { this->dispatcher.on_configuration(this->next_of_the_same(), this->now); }
 
     // The number of slots of one service's endpoints changes.
-    void hand_over_another_pool()
+    void apply_changed_pool()
     {
         this->dispatcher.on_configuration(this->next_with_another_pool(), this->now);
     }
@@ -162,9 +159,9 @@
     // Prepares the configurations for the steps above, so that building them is not measured.
     void prepare()
     {
-        this->same = {this->build_of_parts(), this->build_of_parts()};
+        this->same = {this->build_sharing_parts(), this->build_sharing_parts()};
         this->other_slots = slots + 1;
-        this->different = {this->same[0], this->build_of_parts()};
+        this->different = {this->same[0], this->build_sharing_parts()};
         this->other_slots = slots;
     }
 
@@ -202,7 +199,7 @@
         decision::placement wanted;
         wanted.version_or_service = of_service.tags.at("served");
         if (!this->table.choose(wanted, this->now, ++this->draws)) {
-            give_up("no endpoint was chosen");
+            fail("no endpoint was chosen");
         }
     }
 
@@ -222,17 +219,17 @@
 
     const decision::configuration_ptr& next_of_the_same()
     {
-        return this->same.at(++this->hand_overs % this->same.size());
+        return this->same.at(++this->configurations_applied % this->same.size());
     }
 
     const decision::configuration_ptr& next_with_another_pool()
     {
-        return this->different.at(++this->hand_overs % this->different.size());
+        return this->different.at(++this->configurations_applied % this->different.size());
     }
 
     platform::stated_size size;
     std::string text;
-    platform::stated_configuration stated;
+    platform::stated_configuration declared;
     std::vector<decision::endpoint_host> listed;
     decision::configuration_ptr ready;
     std::array<decision::configuration_ptr, 2> same;
@@ -242,7 +239,7 @@
     decision::endpoint_table table{{}};
     decision::instant now{std::chrono::hours(1)};
     std::size_t visited = 0;
-    std::size_t hand_overs = 0;
+    std::size_t configurations_applied = 0;
     std::uint64_t draws = 0;
 };
 
@@ -262,14 +259,14 @@
     router.prepare();
     fmt::print("| {} | {} ", routes, endpoints);
     fmt::print("| {:.0f} ", cost_of([&] { router.parse(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_anew()); }));
-    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_of_parts()); }));
+    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_from_scratch()); }));
+    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_sharing_parts()); }));
     fmt::print("| {:.2f} ", cost_of([&] { router.find_route(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.change_in_whole_list(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.change_alone(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.tell_loads(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.hand_over_the_same(); }));
-    fmt::print("| {:.1f} |\n", cost_of([&] { router.hand_over_another_pool(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.change_in_full_list(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.change_one_host(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.report_loads(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.apply_same(); }));
+    fmt::print("| {:.1f} |\n", cost_of([&] { router.apply_changed_pool(); }));
     std::fflush(stdout);
 }
 
--- a/benchmarks/fit.sh
+++ b/benchmarks/fit.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
 # Fits value = a + b * routers by least squares to each quantity of a CSV from benchmarks/slopes.sh.
 #
-#   benchmarks/fit.sh CSV [ZONES]      only fleets of so many availability zones count (default 3)
+#   benchmarks/fit.sh CSV [ZONES]      only fleets of this many availability zones (default 3)
 #
-# A line for each phase and quantity: the median and spread (least to most) of the repetitions at each
+# A line for each phase and quantity: the median and range (minimum to maximum) of the repetitions at each
 # size, a, b with its standard error, and the standard deviation of the values from the line.
 set -euo pipefail
 csv=$1
--- a/benchmarks/overhead.sh
+++ b/benchmarks/overhead.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Measures what one router adds to an answer and what it carries, against calling the engine stand-ins
-# directly in the same run.
+# Measures the latency that one router adds to an answer and the load that it sustains, compared with
+# calling the simulated engines directly in the same run.
 #
 #   benchmarks/overhead.sh CSV [latency] [streams] [tokens] [requests]      (default: all four)
 #
 # Writes lines `part,repetition,quantity,value,load_average` to CSV and prints median and spread of each
-# quantity, then a line for each aim. From the environment: PEARHAVEN_BUILD, and the sizes below.
+# quantity, then a line for each target. From the environment: PEARHAVEN_BUILD, and the sizes below.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${PEARHAVEN_BUILD:-build}
@@ -17,7 +17,7 @@
 seconds=${OVERHEAD_SECONDS:-10}          # of one repetition
 first_seed=${OVERHEAD_SEED:-1}
 rate=${OVERHEAD_RATE:-100}               # requests a second in the part about latency
-streams=${OVERHEAD_STREAMS:-2000}       # at a time
+streams=${OVERHEAD_STREAMS:-2000}       # concurrent
 relay_callers=${OVERHEAD_CALLERS:-100 200 400 800}
 ulimit -n "$(ulimit -Hn)"
 source scripts/fleet.sh
@@ -76,7 +76,7 @@
   echo "$1,$2,$3,$4,$(cut -d' ' -f1 /proc/loadavg)" | tee -a "$csv" >>"$fleet_logs/recorded"
 }
 
-# load NAME TARGETS STREAM: one run with a seed of its own; its line of the table goes to NAME.
+# load NAME TARGETS STREAM: one run with a new seed; its table row goes to NAME.
 load() {
   seed=$((seed + 1))
   "$build/benchmarks/load" --targets "$2" --seconds "$seconds" --warm_up 2 --seed "$seed" \
@@ -187,7 +187,7 @@
     END { end_quantity() }'
 }
 
-# aim TEXT COMPARISON LIMIT PATTERN: whether the median of the quantity that the pattern names meets it.
+# aim TEXT COMPARISON LIMIT PATTERN: prints whether the median of the matching quantity meets the target.
 aim() {
   print_table | awk -v text="$1" -v less="$2" -v limit="$3" -v wanted="$4" '
     $1 " " $2 ~ wanted && (!seen || $4 > best) { best = $4; seen = 1 }
--- a/benchmarks/slopes.sh
+++ b/benchmarks/slopes.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs one fleet of real processes and measures what control costs it: idle, under a steady load, and
+# Runs one fleet of real processes and measures its cost of control: idle, under a steady load, and
 # while the configuration changes.
 #
 #   benchmarks/slopes.sh ROUTERS ZONES CSV
@@ -20,10 +20,10 @@
 teams=${SLOPES_TEAMS:-0}                   # further teams in the configuration
 requests_per_router=${SLOPES_REQUESTS:-5} # a second, in the phase with load
 seconds_per_change=${SLOPES_CHANGE:-1.35} # 64,000 changes a day are one each 1.35 s
-waited_changes=${SLOPES_WAITED:-6}        # changes whose time until in force everywhere is taken
+waited_changes=${SLOPES_WAITED:-6}        # changes whose time until in force everywhere is measured
 phases=${SLOPES_PHASES:-idle load changes}
-# A stand-in has a thread for each connection; with thousands in each of many engines the machine would have
-# no number left for a new process.
+# Simulated engines and stores have a thread for each connection; thousands in each of many engines would
+# use up the machine's process ids.
 store_threads=$((64 + 16 * routers))
 engine_threads=$((routers < 40 ? 64 + 24 * routers : 1024))
 ulimit -n "$(ulimit -Hn)"
@@ -94,7 +94,7 @@
   pearhavenctl apply -f "$fleet_logs/fleet.yaml" >/dev/null
 }
 
-# Whether every router is ready and sees all others alive.
+# Succeeds if every router is ready and has all others as members in the state alive.
 is_joined() {
   local number alive
   for ((number = 1; number <= routers; number++)); do
@@ -123,7 +123,7 @@
   done
 } >"$1"
 
-# calls_of KIND ADDRESS [SUBJECT]: the calls that a stand-in has counted, by their kind.
+# calls_of KIND ADDRESS [SUBJECT]: the calls that a simulated service has counted, by kind.
 calls_of() {
   curl -sf --max-time 5 "http://$2/control/stats" | grep -o '"calls":{[^}]*}' | grep -o '"[a-z]*":[0-9][0-9]*' |
     tr -d '"' | awk -F: -v kind="$1" -v who="${3:-$1}" -v at="$EPOCHREALTIME" '{ print who, at, kind "_" $1, $2 }'
--- a/cmake/pearhaven_package.cmake
+++ b/cmake/pearhaven_package.cmake
@@ -1,5 +1,5 @@
-# One function call declares a package: a static library from src/, public headers from include/,
-# and one CppUTest program from test/ that CTest knows as NAME_tests.
+# Declares a package: a static library from src/, public headers from include/, and a CppUTest program
+# from test/ that is registered with CTest as NAME_tests.
 function(pearhaven_package name)
   cmake_parse_arguments(arg "" "" "PACKAGES;LIBRARIES" ${ARGN})
   set(here ${CMAKE_CURRENT_SOURCE_DIR}/${name})
@@ -39,7 +39,7 @@
   endif()
 endfunction()
 
-# Installs the embeddable packages, so that find_package(pearhaven) gives pearhaven::decision and
+# Installs the embeddable packages, so that find_package(pearhaven) provides pearhaven::decision and
 # pearhaven::coordination.
 function(pearhaven_install)
   install(TARGETS decision coordination EXPORT pearhaven ARCHIVE DESTINATION ${CMAKE_INSTALL_LIBDIR})
--- a/scripts/check_purity.sh
+++ b/scripts/check_purity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Holds `decision` and `coordination` to event in, actions out: no I/O, threads, clocks or global
-# random state. Looks at their includes and at the symbols their archives need.
+# Checks that `decision` and `coordination` only map events to actions: no I/O, threads, clocks or
+# global random state. Inspects their includes and the undefined symbols of their archives.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${PEARHAVEN_BUILD:-build}
@@ -21,7 +21,7 @@
 for package in decision coordination; do
   archive=$build/libpearhaven_$package.a
   if nm --undefined-only --format=posix "$archive" 2>/dev/null | cut -d' ' -f1 | grep -E "$forbidden_symbols"; then
-    echo "purity: $archive needs the symbols above" >&2
+    echo "purity: $archive uses the symbols above, which are not allowed" >&2
     status=1
   fi
 done
--- a/scripts/check_release.sh
+++ b/scripts/check_release.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds both programs as users do: optimized, without tests, and with no warning turned into an error.
+# Builds both programs as users do: optimized, without tests, and without treating warnings as errors.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${PEARHAVEN_BUILD:-build}-release
--- a/scripts/check_sample.sh
+++ b/scripts/check_sample.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Installs the embeddable packages into a scratch folder, then builds and runs the sample against them,
-# the way another project would.
+# as another project would.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$(cd "${PEARHAVEN_BUILD:-build}" && pwd)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Shows the whole path on this machine: stand-ins of the platform, three routers, and what callers and
-# operators see. Ends with `demo: N of N as expected` and status 0, and leaves no process behind.
+# Demonstrates the complete request path on this machine: a simulated platform, three routers, and the
+# callers' and operators' views. Ends with `demo: N of N as expected` and status 0, and leaves no process behind.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${PEARHAVEN_BUILD:-build}
 programs=(pearhavend pearhavenctl standin_kv standin_engine standin_plain standin_hosts)
 
-echo "demo: looking for the packages that the build needs"
+echo "demo: checking the packages that the build needs"
 scripts/packages.sh
 echo "demo: building ${programs[*]}"
 scripts/build.sh "${programs[@]}"
@@ -15,7 +15,7 @@
 
 expected=0
 shown=0
-# check WHAT PATTERN TEXT: shows what a caller saw, and counts whether it is as expected.
+# check WHAT PATTERN TEXT: prints the caller's view and counts whether it matches the pattern.
 check() {
   shown=$((shown + 1))
   if grep -qE "$2" <<<"$3"; then
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,5 +1,5 @@
 # Sourced by scripts that start a small fleet of real processes on 127.0.0.1. Every process started
-# with `start` ends when the script does, also when it is interrupted.
+# with `start` is stopped when the script ends or is interrupted.
 
 fleet_logs=$(mktemp -d)
 fleet_pids=()
@@ -13,7 +13,7 @@
 trap fleet_stop EXIT
 trap 'exit 130' INT TERM
 
-# start NAME PROGRAM ARGUMENTS...: runs it in the background; output goes to $fleet_logs/NAME.
+# start NAME PROGRAM ARGUMENTS...: runs the program in the background with output to $fleet_logs/NAME.
 start() {
   local name=$1
   shift
@@ -22,7 +22,7 @@
   eval "pid_$name=$!"
 }
 
-# line NAME PREFIX: waits for the line of the program's output that begins so, and prints the rest.
+# line NAME PREFIX: waits for a line of the program's output with the prefix, and prints its rest.
 line() {
   local tries=0 found
   while [ "$tries" -lt 300 ]; do
@@ -34,12 +34,12 @@
     sleep 0.05
     tries=$((tries + 1))
   done
-  echo "fleet: $1 did not say \"$2...\"" >&2
+  echo "fleet: $1 printed no line \"$2...\"" >&2
   cat "$fleet_logs/$1.err" >&2
   return 1
 }
 
-# until_true COMMAND...: tries for up to 30 s.
+# until_true COMMAND...: retries the command until it succeeds, for up to 30 s.
 until_true() {
   local tries=0
   until "$@" >/dev/null 2>&1; do
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Regenerates the committed code of the peers' messages. Needs flatc (flatbuffers-compiler) in the
+# Regenerates the committed code for messages between peers. Needs flatc (flatbuffers-compiler) in the
 # version of libflatbuffers-dev; the build itself does not.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks format, linter and the purity of the decision packages. Needs a configured build folder.
+# Checks the format, runs clang-tidy and checks the purity of the decision packages. Needs a configured build folder.
 # `scripts/lint.sh FOLDER...` checks only the named packages.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -10,7 +10,7 @@
 mapfile -t files < <(find "${folders[@]}" \( -name '*.cpp' -o -name '*.hpp' \) ! -name '*_generated.*' | sort)
 clang-format --dry-run --Werror "${files[@]}"
 
-# The slowest file is among the tests, the last packages: begun first, it does not add its two minutes at the end.
+# Reverse order: the slowest file, in tests/, takes two minutes and would prolong the run if started last.
 mapfile -t units < <(printf '%s\n' "${files[@]}" | grep '\.cpp$' | grep -v '^samples/' | sort -r)
 printf '%s\0' "${units[@]}" | xargs -0 -n 1 -P "${PEARHAVEN_JOBS:-$(nproc)}" \
   clang-tidy --quiet -p "$build" 2>&1 | { grep -vE '^[0-9]+ warnings? (generated|treated)|^Suppressed|^Use -header-filter' || true; }
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -4,11 +4,11 @@
 #
 #   scripts/measure.sh [overhead|slopes|sizes]
 #
-# slopes: what control costs at several sizes of the fleet, and the lines through it. From the
+# slopes: the cost of control at several fleet sizes, with a linear fit. From the
 #   environment: MEASURE_SIZES (numbers of routers), MEASURE_ZONES.
-# sizes: what one router of a small fleet spends as other things grow: the host list, the teams, the
+# sizes: the cost of one router of a small fleet as other things grow: the host list, the teams, the
 #   engines and the requests.
-# overhead: what a router adds to an answer, and what it carries.
+# overhead: the latency that a router adds to an answer, and the load that it sustains.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export PEARHAVEN_BUILD=${PEARHAVEN_BUILD:-build}
@@ -33,7 +33,7 @@
 }
 
 # vary NAME VARIABLE PHASE VALUES...: fleets of 3 routers that differ in one setting of slopes.sh. In
-# the CSV the setting's value stands in place of the number of routers.
+# the CSV the setting's value replaces the number of routers.
 vary() {
   local name=$1 variable=$2 phase=$3 csv=$results/$1.csv value
   shift 3
--- a/scripts/prove.sh
+++ b/scripts/prove.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Repeats the proofs of the promises beyond what CI runs, and prints a table.
+# Repeats the tests behind each of the product's promises more often than CI, and prints a table.
 #   scripts/prove.sh [PROMISE] [--seed N] [--repeat N]
 # PROMISE is 1 to 10, or one of: crash, silence, pause, outage, peers. Without it: all of them.
-# The seed is that of the properties with random schedules; with --repeat the next runs count up from it.
-# A failing run's output is kept below $PEARHAVEN_BUILD/proofs and named in the table.
+# The seed is that of the property tests with random schedules; --repeat increments it with each run.
+# The output of a failed run is kept in $PEARHAVEN_BUILD/proofs, and the table names its file.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${PEARHAVEN_BUILD:-build}
@@ -19,7 +19,7 @@
   esac
 done
 
-# A promise is proved by programs with a filter for their tests: PROGRAM:GROUP[:NAME].
+# Each promise is checked by test programs with a test filter: PROGRAM:GROUP[:NAME].
 declare -A proofs=(
   [1]="tests/path_test:path_test:allowed decision_tests:dispatcher_test tests/configuration_test:configuration_test:withdrawn"
   [2]="tests/configuration_test:configuration_test:withdrawn decision_tests:dispatcher_test:withdrawn"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -4,7 +4,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export PEARHAVEN_BUILD=${PEARHAVEN_BUILD:-build}
-# Tells how long a step took; CI has a bound on its time.
+# Prints the duration of a step; CI limits the total time.
 step() {
   local start=$SECONDS
   "$@"
@@ -12,19 +12,19 @@
 }
 scripts/packages.sh
 export PEARHAVEN_WARNINGS_AS_ERRORS=ON
-# Tests want neither debug information nor full optimization; both cost minutes of building. Casts of
-# numbers that do not fit are not among what `undefined` stands for.
+# Tests need neither debug information nor full optimization; both add minutes to the build. `undefined`
+# does not include float-cast-overflow.
 build_tests() {
   CXXFLAGS=-O1 PEARHAVEN_BUILD_TYPE=None PEARHAVEN_SANITIZE=address,undefined,float-cast-overflow \
     scripts/build.sh
 }
-# The tests whose programs have threads, with three of those that start real routers.
+# The tests of multithreaded programs, with three of those that start real routers.
 threaded_tests=(adapters_tests router_tests platform_tests standins_tests path_test planned_stop_test platform_path_test)
 build_threaded_tests() {
   CXXFLAGS=-O1 PEARHAVEN_BUILD="$PEARHAVEN_BUILD-threads" PEARHAVEN_BUILD_TYPE=None \
     PEARHAVEN_SANITIZE=thread scripts/build.sh "${threaded_tests[@]}"
 }
-# Runs the tests of a build folder; a report that no test has noticed fails them too.
+# Runs the tests of a build folder; fails also on a sanitizer report that no test noticed.
 run_tests() {
   local folder=$1
   shift
@@ -41,14 +41,14 @@
   done
   return "$failed"
 }
-# Tests that are known to fail are passed over by name; .ci/run prints them.
+# Known failures are skipped by name; .ci/run prints them.
 if [ -s KNOWN-RED.txt ]; then
   export PEARHAVEN_KNOWN_RED=$PWD/KNOWN-RED.txt
 fi
 step build_tests
 step scripts/check_release.sh
 step scripts/lint.sh
-# The sample builds as other projects do, so against the packages as users get them.
+# The sample is built like another project, against the release packages.
 PEARHAVEN_BUILD="$PEARHAVEN_BUILD-release" step scripts/check_sample.sh
 step run_tests "$PEARHAVEN_BUILD"
 step build_threaded_tests
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -190,9 +190,9 @@
     CHECK_EQUAL(std::string("request_quarantined"), this->fleet->ask(2, poison).error_code);
 }
 
-// An engine refuses requests because it is leaving, but the host list still shows it live and its
-// load reports are a minute old, so that only a router with a refused request knows. After 3 s no
-// router may send it a request.
+// An engine refuses requests because it is leaving, but the host list shows it live for 30 s more
+// and its load reports are a minute old, so that only a router with a refused request knows. After
+// 3 s no router may send it a request.
 TEST(answers_test, a_leaving_engine_is_offered_nothing_after_three_seconds)
 {
     test_fleet::plan plan;
--- a/tests/integration/bad_input_test.cpp
+++ b/tests/integration/bad_input_test.cpp
@@ -127,7 +127,7 @@
 }
 
 // A caller announces a body and sends half of it. It must get an error after the read timeout,
-// which frees its thread: more such callers than there are threads do not block the next one.
+// which frees its thread: callers on all 64 threads at once must not block the next one.
 TEST(bad_input_test, incomplete_requests_are_rejected_and_do_not_block_others)
 {
     std::vector<std::unique_ptr<raw_connection>> half;
