--- a/benchmarks/load_main.cpp
+++ b/benchmarks/load_main.cpp
@@ -66,7 +66,8 @@
             at = mark + event_mark.size();
             ++found;
         }
-        this->whole = this->whole || this->tail.find("[DONE]") != std::string::npos;
+        this->has_end_marker =
+            this->has_end_marker || this->tail.find("[DONE]") != std::string::npos;
         this->tail.erase(
             0, std::max(at, this->tail.size() > 64 ? this->tail.size() - 64 : std::size_t{0}));
         if (found > 0) {
@@ -78,8 +79,8 @@
     void on_end(const adapters::http_result& result) override
     {
         constexpr int ok = 200;
-        this->sample.whole = seconds_between(this->sent, clock::now());
-        this->sample.completed = !result.error && this->sample.status == ok && this->whole;
+        this->sample.completion_time = seconds_between(this->sent, clock::now());
+        this->sample.completed = !result.error && this->sample.status == ok && this->has_end_marker;
         this->sample.token_gap_95 = quantile(this->gaps, 0.95);
         this->on_done(this->sample);
     }
@@ -103,7 +104,7 @@
     clock::time_point last;
     std::vector<double> gaps;
     std::string tail;
-    bool whole = false;
+    bool has_end_marker = false;
 };
 
 class load_run {
--- a/benchmarks/load_plan.cpp
+++ b/benchmarks/load_plan.cpp
@@ -41,15 +41,15 @@
     if (!read_number(value, number)) {
         return false;
     }
-    const auto whole = static_cast<std::uint32_t>(number);
+    const auto integer = static_cast<std::uint32_t>(number);
     if (name == "rate") {
         stream.rate = number;
     } else if (name == "callers") {
-        stream.callers = whole;
+        stream.callers = integer;
     } else if (name == "prompt") {
-        stream.prompt_bytes = whole;
+        stream.prompt_bytes = integer;
     } else if (name == "tokens") {
-        stream.max_tokens = whole;
+        stream.max_tokens = integer;
     } else if (name == "from") {
         stream.from_s = number;
     } else if (name == "to") {
@@ -120,7 +120,7 @@
     load_summary summary;
     summary.name = name;
     std::vector<double> first;
-    std::vector<double> whole;
+    std::vector<double> completion;
     std::vector<double> gaps;
     std::uint64_t tokens = 0;
     for (const auto& sample : samples) {
@@ -134,7 +134,7 @@
         ++summary.completed;
         tokens += sample.tokens;
         first.push_back(sample.first_token * milliseconds);
-        whole.push_back(sample.whole * milliseconds);
+        completion.push_back(sample.completion_time * milliseconds);
         gaps.push_back(sample.token_gap_95 * milliseconds);
     }
     const double measured = std::max(seconds - warm_up, 1e-9);
@@ -143,9 +143,9 @@
     summary.first_50 = quantile(first, 0.50);
     summary.first_95 = quantile(first, 0.95);
     summary.first_99 = quantile(first, 0.99);
-    summary.whole_50 = quantile(whole, 0.50);
-    summary.whole_95 = quantile(whole, 0.95);
-    summary.whole_99 = quantile(whole, 0.99);
+    summary.completion_50 = quantile(completion, 0.50);
+    summary.completion_95 = quantile(completion, 0.95);
+    summary.completion_99 = quantile(completion, 0.99);
     summary.gap_95 = quantile(gaps, 0.95);
     return summary;
 }
@@ -160,8 +160,8 @@
         std::snprintf(line.data(), line.size(),
                       "%-16s %6zu %9zu %7.1f %9.0f %15.2f %7.2f %7.2f %13.2f %7.2f %7.2f %11.2f\n",
                       one.name.c_str(), one.sent, one.completed, one.goodput, one.tokens_per_s,
-                      one.first_50, one.first_95, one.first_99, one.whole_50, one.whole_95,
-                      one.whole_99, one.gap_95);
+                      one.first_50, one.first_95, one.first_99, one.completion_50,
+                      one.completion_95, one.completion_99, one.gap_95);
         text += line.data();
     }
     return text;
@@ -175,7 +175,7 @@
         const auto& stream = streams[sample.stream];
         text += stream.name + "," + stream.work_class + "," + format("%.4f", sample.sent_at) + "," +
                 format("%.3f", sample.first_token * milliseconds) + "," +
-                format("%.3f", sample.whole * milliseconds) + "," +
+                format("%.3f", sample.completion_time * milliseconds) + "," +
                 format("%.3f", sample.token_gap_95 * milliseconds) + "," +
                 std::to_string(sample.tokens) + "," + std::to_string(sample.status) + "," +
                 (sample.completed ? "1" : "0") + "\n";
--- a/benchmarks/load_plan.hpp
+++ b/benchmarks/load_plan.hpp
@@ -37,10 +37,10 @@
 // Result of one request.
 struct load_sample {
     std::size_t stream = 0;
-    double sent_at = 0.0;      // seconds since the start
-    double first_token = 0.0;  // seconds since it was sent; 0 where none came
-    double whole = 0.0;        // seconds until the end
-    double token_gap_95 = 0.0; // seconds between tokens for 95 in 100
+    double sent_at = 0.0;         // seconds since the start
+    double first_token = 0.0;     // seconds since it was sent; 0 where none came
+    double completion_time = 0.0; // seconds until the end
+    double token_gap_95 = 0.0;    // seconds between tokens for 95 in 100
     std::uint32_t tokens = 0;
     int status = 0;
     bool completed = false;
@@ -61,9 +61,9 @@
     double first_50 = 0.0;
     double first_95 = 0.0;
     double first_99 = 0.0;
-    double whole_50 = 0.0;
-    double whole_95 = 0.0;
-    double whole_99 = 0.0;
+    double completion_50 = 0.0;
+    double completion_95 = 0.0;
+    double completion_99 = 0.0;
     double gap_95 = 0.0;
 
     friend bool operator==(const load_summary&, const load_summary&) = default;
--- a/benchmarks/slopes.sh
+++ b/benchmarks/slopes.sh
@@ -16,7 +16,7 @@
 seconds=${SLOPES_SECONDS:-8}              # of one repetition
 repetitions=${SLOPES_REPETITIONS:-3}      # in each phase
 engines=${SLOPES_ENGINES:-3}
-unused_hosts=${SLOPES_HOSTS:-0}            # further entries of the host list, which no pool takes
+unused_hosts=${SLOPES_HOSTS:-0}            # further entries of the host list, which belong to no pool
 teams=${SLOPES_TEAMS:-0}                   # further teams in the configuration
 requests_per_router=${SLOPES_REQUESTS:-5} # a second, in the phase with load
 seconds_per_change=${SLOPES_CHANGE:-1.35} # 64,000 changes a day are one each 1.35 s
@@ -135,7 +135,7 @@
 }
 
 # rates BEFORE AFTER: lines `quantity value` a second. Of routers the mean, and for the processor also
-# the busiest one; of the store's callers and the stand-ins the sum over all.
+# the busiest one; of the store's callers and the simulated services the sum over all.
 rates() {
   awk -v ticks="$ticks_per_second" -v routers="$routers" '
     NR == FNR { old[$1 " " $3] = $4; begun[$1 " " $3] = $2; next }
