--- a/benchmarks/change_main.cpp
+++ b/benchmarks/change_main.cpp
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-DEFINE_double(step_ms, 100.0, "processor time for which each step is repeated, in milliseconds");
+DEFINE_double(step_ms, 100.0, "CPU time for which each step is repeated, in milliseconds");
 
 namespace pearhaven::benchmarks {
 
@@ -34,24 +34,24 @@
     return static_cast<double>(std::clock()) * ms_per_second / CLOCKS_PER_SEC;
 }
 
-// Mean processor time of one run of the step, in microseconds.
+// Mean CPU time of one run of the step, in microseconds.
 double cost_of(const std::function<void()>& step)
 {
-    constexpr std::uint64_t fewest_runs = 3;
+    constexpr std::uint64_t min_runs = 3;
     constexpr double us_per_ms = 1000.0;
-    step(); // what is made once is not counted
-    const double begun = processor_ms();
+    step(); // excludes one-time initialization
+    const double start = processor_ms();
     std::uint64_t runs = 0;
     double spent = 0.0;
-    while (runs < fewest_runs || spent < FLAGS_step_ms) {
+    while (runs < min_runs || spent < FLAGS_step_ms) {
         step();
         ++runs;
-        spent = processor_ms() - begun;
+        spent = processor_ms() - start;
     }
     return spent * us_per_ms / static_cast<double>(runs);
 }
 
-[[noreturn]] void give_up(const std::string& why)
+[[noreturn]] void fail(const std::string& why)
 {
     fmt::print(stderr, "change: {}\n", why);
     std::exit(EXIT_FAILURE);
@@ -67,7 +67,7 @@
     return made;
 }
 
-// A router's state at one size, and the steps that a change takes there.
+// A router's state at one size, with the steps to benchmark.
 class changed_router {
 public:
     changed_router(std::size_t routes, std::size_t endpoints)
@@ -78,7 +78,7 @@
         for (std::size_t number = 0; number < endpoints; ++number) {
             this->listed.push_back(this->endpoint_at(number));
         }
-        this->ready = this->build_anew();
+        this->ready = this->build_from_scratch();
         this->dispatcher.on_configuration(this->ready, this->now);
         this->dispatcher.on_hosts(this->listed, this->now);
         this->table.configure(*this->ready);
@@ -91,17 +91,17 @@
         std::string fault;
         auto read = platform::read_configuration(this->text, fault);
         if (!read) {
-            give_up(fault);
+            fail(fault);
         }
-        this->stated = std::move(*read);
+        this->declared = std::move(*read);
     }
 
-    // All routes and teams are copied.
-    [[nodiscard]] decision::configuration_ptr build_anew()
+    // Copies all routes and teams.
+    [[nodiscard]] decision::configuration_ptr build_from_scratch()
     {
         decision::configuration_builder builder;
-        builder.routes(this->stated.routes);
-        for (const auto& one : this->stated.teams) {
+        builder.routes(this->declared.routes);
+        for (const auto& one : this->declared.teams) {
             decision::team made;
             made.name = one.name;
             made.key_sha256 = one.key_sha256;
@@ -111,7 +111,7 @@
         return builder.build();
     }
 
-    [[nodiscard]] decision::configuration_ptr build_of_parts()
+    [[nodiscard]] decision::configuration_ptr build_sharing_parts()
     {
         decision::configuration_builder builder;
         builder.routes(this->ready->shared_routes()).teams(this->ready->shared_teams());
@@ -125,46 +125,43 @@
         const auto path = platform::sample_path_prefix(number) + "item?query";
         const auto host = platform::sample_host_name(number % hosts) + ":8080";
         if (this->ready->routes().find(host, path) == nullptr) {
-            give_up("a route was not found");
+            fail("a route was not found");
         }
     }
 
-    // An endpoint starts again, and the next request goes to its service.
-    void change_in_whole_list()
+    // An endpoint restarts, and the next request is sent to its service.
+    void change_in_full_list()
     {
         auto& one = this->changed_endpoint();
         this->table.set_hosts(this->listed, this->now);
         this->choose(one);
     }
 
-    void change_alone()
+    void change_one_host()
     {
         auto& one = this->changed_endpoint();
         this->table.set_host(one, this->now);
         this->choose(one);
     }
 
-    // Told to the other routers many times a second, whether anything changed or not.
-    void tell_loads() const { static_cast<void>(this->table.own_loads()); }
+    // Sent to the other routers many times a second, even if nothing changed.
+    void report_loads() const { static_cast<void>(this->table.own_loads()); }
 
-    // The next configuration states the same but for its revision.
-    void hand_over_the_same()
-    {
-        this->dispatcher.on_configuration(this->next_of_the_same(), this->now);
-    }
+    // The next configuration differs only in its revision.
+    void apply_same() { this->dispatcher.on_configuration(this->next_of_the_same(), this->now); }
 
-    // A service's endpoints bear another number of requests.
-    void hand_over_another_pool()
+    // The number of slots of one service's endpoints changes.
+    void apply_changed_pool()
     {
         this->dispatcher.on_configuration(this->next_with_another_pool(), this->now);
     }
 
-    // What is made for the hand-overs above is no part of them.
+    // Prepares the configurations for the steps above, so that building them is not measured.
     void prepare()
     {
-        this->same = {this->build_of_parts(), this->build_of_parts()};
+        this->same = {this->build_sharing_parts(), this->build_sharing_parts()};
         this->other_slots = slots + 1;
-        this->different = {this->same[0], this->build_of_parts()};
+        this->different = {this->same[0], this->build_sharing_parts()};
         this->other_slots = slots;
     }
 
@@ -202,7 +199,7 @@
         decision::placement wanted;
         wanted.version_or_service = of_service.tags.at("served");
         if (!this->table.choose(wanted, this->now, ++this->draws)) {
-            give_up("no endpoint was chosen");
+            fail("no endpoint was chosen");
         }
     }
 
@@ -215,24 +212,24 @@
 
     std::size_t next_number(std::size_t bound)
     {
-        constexpr std::size_t stride = 7919; // a prime: visits all numbers, far from each other
+        constexpr std::size_t stride = 7919; // a prime: visits all numbers, in distant steps
         this->visited += stride;
         return this->visited % bound;
     }
 
     const decision::configuration_ptr& next_of_the_same()
     {
-        return this->same.at(++this->hand_overs % this->same.size());
+        return this->same.at(++this->configurations_applied % this->same.size());
     }
 
     const decision::configuration_ptr& next_with_another_pool()
     {
-        return this->different.at(++this->hand_overs % this->different.size());
+        return this->different.at(++this->configurations_applied % this->different.size());
     }
 
     platform::sample_configuration_size size;
     std::string text;
-    platform::declared_configuration stated;
+    platform::declared_configuration declared;
     std::vector<decision::endpoint_host> listed;
     decision::configuration_ptr ready;
     std::array<decision::configuration_ptr, 2> same;
@@ -242,7 +239,7 @@
     decision::endpoint_table table{{}};
     decision::instant now{std::chrono::hours(1)};
     std::size_t visited = 0;
-    std::size_t hand_overs = 0;
+    std::size_t configurations_applied = 0;
     std::uint64_t draws = 0;
 };
 
@@ -262,14 +259,14 @@
     router.prepare();
     fmt::print("| {} | {} ", routes, endpoints);
     fmt::print("| {:.0f} ", cost_of([&] { router.parse(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_anew()); }));
-    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_of_parts()); }));
+    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_from_scratch()); }));
+    fmt::print("| {:.1f} ", cost_of([&] { static_cast<void>(router.build_sharing_parts()); }));
     fmt::print("| {:.2f} ", cost_of([&] { router.find_route(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.change_in_whole_list(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.change_alone(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.tell_loads(); }));
-    fmt::print("| {:.1f} ", cost_of([&] { router.hand_over_the_same(); }));
-    fmt::print("| {:.1f} |\n", cost_of([&] { router.hand_over_another_pool(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.change_in_full_list(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.change_one_host(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.report_loads(); }));
+    fmt::print("| {:.1f} ", cost_of([&] { router.apply_same(); }));
+    fmt::print("| {:.1f} |\n", cost_of([&] { router.apply_changed_pool(); }));
     std::fflush(stdout);
 }
 
--- a/benchmarks/load_main.cpp
+++ b/benchmarks/load_main.cpp
@@ -42,7 +42,7 @@
     return std::chrono::duration<double>(to - from).count();
 }
 
-// Listens to one answer and counts its tokens by their events.
+// Receives one answer and counts its tokens by their events.
 class answer_listener : public adapters::http_listener {
 public:
     answer_listener(load_sample begun, std::function<void(const load_sample&)> done)
@@ -66,7 +66,8 @@
             at = mark + event_mark.size();
             ++found;
         }
-        this->whole = this->whole || this->tail.find("[DONE]") != std::string::npos;
+        this->has_end_marker =
+            this->has_end_marker || this->tail.find("[DONE]") != std::string::npos;
         this->tail.erase(
             0, std::max(at, this->tail.size() > 64 ? this->tail.size() - 64 : std::size_t{0}));
         if (found > 0) {
@@ -78,8 +79,8 @@
     void on_end(const adapters::http_result& result) override
     {
         constexpr int ok = 200;
-        this->sample.whole = seconds_between(this->sent, clock::now());
-        this->sample.completed = !result.error && this->sample.status == ok && this->whole;
+        this->sample.completion_time = seconds_between(this->sent, clock::now());
+        this->sample.completed = !result.error && this->sample.status == ok && this->has_end_marker;
         this->sample.token_gap_95 = quantile(this->gaps, 0.95);
         this->on_done(this->sample);
     }
@@ -103,7 +104,7 @@
     clock::time_point last;
     std::vector<double> gaps;
     std::string tail;
-    bool whole = false;
+    bool has_end_marker = false;
 };
 
 class load_run {
@@ -234,7 +235,7 @@
         this->samples.push_back(done);
         --this->in_flight;
         if (this->streams[done.stream].rate <= 0.0) {
-            // A caller that was refused comes back after a moment, not at once.
+            // A caller retries after a short pause when its request did not complete.
             const double pause = done.completed ? 0.0 : 0.05;
             this->due.push({seconds_between(this->begun, clock::now()) + pause, done.stream});
         }
@@ -292,7 +293,7 @@
     using namespace pearhaven::benchmarks;
     auto flags = pearhaven::adapters::read_flags(argc, argv, "PEARHAVEN_LOAD");
     if (flags.help_requested) {
-        std::cout << "load: sends chat requests and shows how they fared\n"
+        std::cout << "load: sends chat requests and prints statistics of their results\n"
                   << pearhaven::adapters::describe_flags("load_main.cpp");
         return 0;
     }
--- a/tests/integration/configuration_test.cpp
+++ b/tests/integration/configuration_test.cpp
@@ -15,8 +15,9 @@
 
 namespace {
 
-// Bytes that left a router just before a withdrawal was in force may reach the engine just after.
-constexpr std::int64_t flight_ms = 50;
+// A request that left a router just before a withdrawal took effect may reach the engine just
+// after.
+constexpr std::int64_t max_transit_ms = 50;
 
 std::int64_t unix_ms()
 {
@@ -24,7 +25,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
 
-// Callers that go on asking through every router until they are stopped.
+// Callers that keep sending requests through every router until they are stopped.
 class steady_callers {
 public:
     steady_callers(test_fleet& fleet, const chat_request& request, std::size_t count)
@@ -33,7 +34,7 @@
             this->threads.emplace_back([this, &fleet, request, i] {
                 while (!this->stopped) {
                     const auto answer = fleet.ask(i % fleet.routers.size(), request);
-                    ++(answer.is_whole_answer_to(request) ? this->whole : this->refused);
+                    ++(answer.is_complete_answer_to(request) ? this->whole : this->refused);
                     if (answer.status != 200) {
                         std::this_thread::sleep_for(std::chrono::milliseconds(20));
                     }
@@ -93,10 +94,10 @@
     {
         int count = 0;
         for (const auto& run : this->fleet->runs()) {
-            count +=
-                run["version"] == version && run["at_ms"].get<std::int64_t>() > moment + flight_ms
-                    ? 1
-                    : 0;
+            count += run["version"] == version &&
+                             run["at_ms"].get<std::int64_t>() > moment + max_transit_ms
+                         ? 1
+                         : 0;
         }
         return count;
     }
@@ -112,8 +113,9 @@
     }
 };
 
-// Callers keep every router busy with both versions when an operator withdraws one. From the moment
-// that `--wait` returns no engine starts a run of it, whatever was queued or being retried then.
+// Callers keep every router busy with both versions when an operator withdraws one. After `--wait`
+// has returned, no engine may start a run of it, even for requests that were queued or being
+// retried at that moment.
 TEST(configuration_test, a_withdrawn_version_gets_nothing_from_the_moment_that_wait_returns)
 {
     test_fleet::plan plan;
@@ -132,15 +134,16 @@
 }
 
 // A router is paused, the version is withdrawn, and the command returns once the paused router's
-// membership has lapsed. Requests wait in the paused router's sockets. When it wakes it still
-// believes the version allowed; it must find that its knowledge is stale before it starts anything.
-TEST(configuration_test, a_router_that_wakes_from_a_pause_does_not_start_a_withdrawn_version)
+// membership has expired. Requests wait in the paused router's sockets. When it resumes, its
+// configuration still allows the version; it must detect that this configuration is stale before it
+// starts any run.
+TEST(configuration_test, a_router_that_resumes_after_a_pause_does_not_start_a_withdrawn_version)
 {
     this->start({});
     auto& paused = this->fleet->routers[1];
     chat_request request;
     request.model = "adjudicator-2";
-    CHECK_TRUE(this->fleet->ask(1, request).is_whole_answer_to(request));
+    CHECK_TRUE(this->fleet->ask(1, request).is_complete_answer_to(request));
     paused.process->signal(SIGSTOP);
     std::vector<std::unique_ptr<chat_call>> waiting;
     waiting.reserve(8);
@@ -158,8 +161,8 @@
     LONGS_EQUAL(0, this->runs_after("adjudicator-2", moment));
 }
 
-// The store goes out, and a router is replaced meanwhile. The new one cannot read the store; it
-// takes the configuration from its peers, and no router ever shows a lower revision than before.
+// A router is replaced while the store is unavailable. The new one cannot read the store and must
+// take the configuration from its peers; no router may ever show a lower revision than before.
 TEST(configuration_test,
      a_router_that_starts_during_an_outage_takes_the_configuration_from_its_peers)
 {
@@ -181,24 +184,24 @@
     CHECK_EQUAL(std::string("version_withdrawn"), this->fleet->ask(3, request).error_code);
     request.model = "adjudicator-1";
     CHECK_TRUE(
-        eventually([&] { return this->fleet->ask(3, request).is_whole_answer_to(request); }));
+        eventually([&] { return this->fleet->ask(3, request).is_complete_answer_to(request); }));
 }
 
-// Two operators change different objects again and again, and every third reply of the store is
-// lost. Each command that says `accepted` stands in the history exactly once, with a revision of
-// its own, and each router's revision only rises.
+// Two operators keep changing different objects while every third reply of the store is lost. Each
+// command that prints `accepted` must be in the history exactly once, with a revision of its own,
+// and each router's revision must only rise.
 TEST(configuration_test, racing_operators_with_lost_replies_leave_one_total_order)
 {
     this->start({});
     std::atomic<bool> done{false};
-    std::atomic<int> falls{0};
+    std::atomic<int> revision_decreases{0};
     std::thread watcher([&] {
         std::vector<std::uint64_t> last(this->fleet->routers.size(), 0);
         while (!done) {
             for (std::size_t i = 0; i < last.size(); ++i) {
                 const auto seen = this->fleet->status(this->fleet->routers[i])
                                       .value("revision", std::uint64_t{0});
-                falls += seen < last[i] ? 1 : 0;
+                revision_decreases += seen < last[i] ? 1 : 0;
                 last[i] = seen;
             }
         }
@@ -235,15 +238,15 @@
     }
     LONGS_EQUAL(0, others.load());
     LONGS_EQUAL(24, accepted.load());
-    LONGS_EQUAL(25, head["revision"].get<int>()); // the first change made the base configuration
+    LONGS_EQUAL(25, head["revision"].get<int>()); // the first change is the base configuration
     LONGS_EQUAL(25, revisions.size());
     LONGS_EQUAL(25, write_ids.size());
-    LONGS_EQUAL(0, falls.load());
+    LONGS_EQUAL(0, revision_decreases.load());
     CHECK_FALSE(history.empty());
 }
 
-// One router loses its link to the store while the others keep theirs. It goes on, by its peers,
-// and has each change within the 5 s that users were promised.
+// One router loses its connection to the store while the others keep theirs. It must continue by
+// means of its peers, and receive each change within the 5 s that users were promised.
 TEST(configuration_test, a_router_without_the_store_has_each_change_from_its_peers)
 {
     test_fleet::plan plan;
@@ -253,11 +256,11 @@
     this->fleet->apply(with_withdrawn("adjudicator-1"));
     chat_request request;
     request.model = "adjudicator-1";
-    const auto has_it = [&] {
+    const auto has_change = [&] {
         return this->fleet->ask(2, request).error_code == "version_withdrawn";
     };
-    CHECK_TRUE(eventually(has_it, std::chrono::seconds(5)));
+    CHECK_TRUE(eventually(has_change, std::chrono::seconds(5)));
     request.model = "adjudicator-2";
     CHECK_TRUE(
-        eventually([&] { return this->fleet->ask(2, request).is_whole_answer_to(request); }));
+        eventually([&] { return this->fleet->ask(2, request).is_complete_answer_to(request); }));
 }
