--- a/standins/src/answer_text.hpp
+++ b/standins/src/answer_text.hpp
@@ -8,12 +8,12 @@
 
 namespace pearhaven::standins {
 
-// What the engine stand-in answers. Whoever knows the request knows the whole right answer, so a
-// test can tell a whole answer from a cut, reordered, spliced or swapped one.
+// Answers of the engine stand-in. The request determines the complete correct answer, so a test can
+// detect an answer that was truncated, reordered, spliced or swapped.
 
 constexpr std::uint64_t default_max_tokens = 32;
 
-// Mark that each token of a bad version's answer begins with. No right answer holds it.
+// Prefix of each token in a bad version's answer. It never occurs in a correct answer.
 constexpr std::string_view bad_mark = "BAD";
 
 struct chat_message {
@@ -23,22 +23,22 @@
     friend bool operator==(const chat_message&, const chat_message&) = default;
 };
 
-// The prompt that a conversation makes: `role: content` and a line feed for each message. Each
-// further turn of a session therefore begins with the prompt of the turn before.
+// Builds the prompt of a conversation: `role: content` and a line feed for each message. The prompt
+// of each turn of a session therefore starts with the prompt of the previous turn.
 std::string chat_prompt(const std::vector<chat_message>& messages);
 
-// Number of tokens that the engine counts for a prompt: one for each four bytes begun.
+// Number of tokens in a prompt: its size in bytes divided by four, rounded up.
 std::uint64_t prompt_token_count(std::string_view prompt);
 
-// What the tokens of one answer are worked out from.
+// Seed from which the tokens of one answer are derived.
 std::uint64_t answer_seed(std::string_view prompt, std::string_view version);
 
-// Token of the answer at the index: four syllables picked by hash, and a space.
+// Token of the answer at the index: four syllables selected by a hash, then a space.
 std::string answer_token(std::uint64_t seed, std::uint64_t index);
 std::string answer_token(std::string_view prompt, std::string_view version, std::uint64_t index);
 
-// The first `tokens` tokens of the answer. The answer to a request is as many as its max_tokens
-// says, or the default.
+// The first `tokens` tokens of the answer. A complete answer has max_tokens of the request, or the
+// default number.
 std::string answer_text(std::string_view prompt, std::string_view version, std::uint64_t tokens);
 
 } // namespace pearhaven::standins
--- a/standins/src/batch_scheduler.cpp
+++ b/standins/src/batch_scheduler.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A caller that is late by less than this makes up for it with steps one right after the other, so
-// that the engine's speed over a while does not depend on how precisely its thread is woken.
+// A caller that is late by less than this catches up by running steps back to back, so that the
+// engine's average speed does not depend on how precisely its thread is woken.
 constexpr decision::duration catch_up_limit{50'000};
 
 std::uint64_t reservation(const run_work& work)
@@ -100,7 +100,7 @@
         std::max<std::uint64_t>(this->totals.most_running, this->batch.size());
 }
 
-// A run that is larger than the memory runs alone.
+// A run larger than the KV memory runs alone.
 bool batch_scheduler::fits(const scheduled_run& run) const
 {
     return this->batch.empty() ||
@@ -121,7 +121,7 @@
     run->on_progress();
 }
 
-// The most urgent runs' prompts are read first.
+// Processes the prompts of the most urgent runs first.
 void batch_scheduler::plan_prefill()
 {
     this->prefill.clear();
--- a/standins/src/batch_scheduler.hpp
+++ b/standins/src/batch_scheduler.hpp
@@ -18,14 +18,14 @@
 
 // Size and speed of the modelled engine. A step of the batch lasts
 //   (step + step_per_run * runs in the batch + prompt tokens read in it / prefill_tokens_per_s)
-// times the slow factor. It gives each run whose prompt has been read one token.
+// times the slow factor. It produces one token for each run whose prompt has been processed.
 struct batch_settings {
     std::uint32_t batch = 16; // runs that are stepped together
-    std::uint32_t queue = 64; // runs that may wait for a place in the batch
+    std::uint32_t queue = 64; // runs that may wait for a slot in the batch
     decision::duration step{10'000};
     decision::duration step_per_run{200};
     double prefill_tokens_per_s = 20'000;
-    std::uint64_t prefill_chunk = 512;    // most prompt tokens that one step reads
+    std::uint64_t prefill_chunk = 512;    // max prompt tokens processed in one step
     std::uint64_t kv_tokens = 262'144;    // prompts and answers that the batch can hold
     std::uint64_t cache_tokens = 131'072; // prompt prefixes kept after their runs
     std::uint64_t block_tokens = 16;      // unit of the prefix cache
@@ -33,7 +33,7 @@
 
 enum class run_state { queued, running, finished, cancelled };
 
-// What the scheduler needs to know of a run.
+// The part of a request that the scheduler uses.
 struct run_work {
     std::uint32_t priority = 5; // 0 is the most urgent
     std::uint64_t prompt_tokens = 0;
@@ -43,7 +43,7 @@
     friend bool operator==(const run_work&, const run_work&) = default;
 };
 
-// How far the scheduler has come with a run.
+// Progress of a run in the scheduler.
 struct run_progress {
     run_state state = run_state::queued;
     std::uint64_t tokens = 0;
@@ -53,8 +53,8 @@
     friend bool operator==(const run_progress&, const run_progress&) = default;
 };
 
-// A run, shared by the scheduler and whoever waits for its tokens. The progress is changed by the
-// scheduler only, within its calls; so are the two hooks called.
+// A run, shared by the scheduler and the threads waiting for its tokens. Only the scheduler changes
+// the progress and calls the two hooks, both from within calls to it.
 class scheduled_run : public boost::intrusive_ref_counter<scheduled_run> {
 public:
     explicit scheduled_run(run_work todo) : work(std::move(todo)) {}
@@ -63,15 +63,15 @@
     scheduled_run(const scheduled_run&) = delete;
     scheduled_run& operator=(const scheduled_run&) = delete;
 
-    // The run has entered the batch.
+    // Called when the run enters the batch.
     virtual void on_start() {}
 
-    // The run has a further token or another state.
+    // Called when the run has a new token or a new state.
     virtual void on_progress() {}
 
     const run_work work;
     run_progress progress;
-    std::uint64_t arrival = 0; // set by the scheduler: place among runs of one priority
+    std::uint64_t arrival = 0; // set by the scheduler: order among runs of equal priority
 };
 
 using run_pointer = boost::intrusive_ptr<scheduled_run>;
@@ -98,23 +98,23 @@
     friend bool operator==(const batch_counts&, const batch_counts&) = default;
 };
 
-// Continuous batching: at each step's end finished runs leave the batch, and queued ones take their
-// places, the most urgent first. A run that has started is not put back for a more urgent one.
+// Continuous batching: at the end of each step finished runs leave the batch and queued ones take
+// their slots, most urgent first. A started run is never preempted by a more urgent one.
 class batch_scheduler {
 public:
     explicit batch_scheduler(const batch_settings& sizes);
 
-    // Queues the run. False when the queue is full: the run is not taken.
+    // Queues the run. False if the queue is full and the run was rejected.
     bool submit(const run_pointer& run);
 
-    // Takes the run out of the queue or the batch. False when it has ended already.
+    // Removes the run from the queue or the batch. False if it has already ended.
     bool cancel(const run_pointer& run);
 
-    // Ends the step that is due and begins the next. Returns when that one ends, which may lie in
-    // the past if the caller is late; nothing when there is no work. Call again then.
+    // Ends the step that is due and begins the next. Returns the time at which that one ends, when
+    // the caller must call again; it may be in the past if the caller is late. Nothing when idle.
     std::optional<decision::instant> advance(decision::instant now);
 
-    // Each step that begins from now on lasts this many times as long.
+    // Multiplies the duration of every step that begins from now on.
     void set_slow_factor(double factor) { this->slow_factor = factor; }
 
     [[nodiscard]] batch_load load() const;
@@ -147,7 +147,7 @@
     std::uint64_t last_arrival = 0;
     std::map<queue_key, run_pointer> queue;
     std::map<queue_key, run_pointer> batch;
-    std::uint64_t reserved_tokens = 0; // prompts and longest answers of the batch
+    std::uint64_t reserved_tokens = 0; // prompts and max answer lengths of the batch
     std::vector<prefill_share> prefill;
     std::optional<decision::instant> step_end;
     decision::instant last_end;
--- a/standins/src/behaviours.hpp
+++ b/standins/src/behaviours.hpp
@@ -15,12 +15,12 @@
 
 namespace pearhaven::standins {
 
-// Names the members of a settings struct that `POST /control/behave` may set. The same table gives
-// the text for --help, so that the two cannot differ.
+// Table of the members of a settings struct that `POST /control/behave` may set. The text for --help
+// is generated from the same table, so the two cannot differ.
 template <class settings>
 class behaviour_table {
 public:
-    // The member is a bool, a whole number, a fraction or a text.
+    // The member is a bool, an integer, a floating-point number or a string.
     template <class value_type>
     behaviour_table& add(const std::string& name, value_type settings::*target,
                          const std::string& meaning)
@@ -40,14 +40,14 @@
         return *this;
     }
 
-    // The check says what is wrong with new settings as a whole, if anything is.
+    // The check returns what is wrong with the combination of new settings, if anything.
     behaviour_table& check(std::function<std::optional<std::string>(const settings&)> wanted)
     {
         this->checker = std::move(wanted);
         return *this;
     }
 
-    // Sets all the named members, or none and says why not.
+    // Sets all the named members, or sets none and returns the reason.
     std::optional<std::string> apply(const nlohmann::json& wanted, settings& current) const
     {
         if (!wanted.is_object()) {
@@ -124,7 +124,7 @@
     std::function<std::optional<std::string>(const settings&)> checker;
 };
 
-// The behaviours in force, shared by the handlers' threads.
+// The current behaviours, shared by the handler threads.
 template <class settings>
 class behaviour_control {
 public:
@@ -136,7 +136,7 @@
         return this->current;
     }
 
-    // Changes the behaviours in place: counts that run down, settings that hold once.
+    // Changes the behaviours in place, for countdowns and one-time settings.
     template <class change>
     auto update(change action)
     {
@@ -144,7 +144,7 @@
         return action(this->current);
     }
 
-    // Adds `POST /control/behave`, which answers with all behaviours, and `GET` of the same.
+    // Adds `POST /control/behave`, which answers with all behaviours, and `GET /control/behave`.
     void add_routes(web_server& server, std::function<void(const settings&)> changed = {})
     {
         server.route("POST", "/control/behave", [this, changed](web_exchange& exchange) {
--- a/standins/src/call_counts.hpp
+++ b/standins/src/call_counts.hpp
@@ -14,7 +14,7 @@
 // Counts the calls of a stand-in for /control/stats.
 class call_counts {
 public:
-    // Counts a call for as long as it runs.
+    // Counts a call as in progress until destroyed.
     class running_call {
     public:
         running_call(call_counts& counted_in, const std::string& kind) : counts(counted_in)
--- a/standins/src/engine.cpp
+++ b/standins/src/engine.cpp
@@ -100,7 +100,7 @@
         ++this->refused;
         return {outcome, nullptr};
     }
-    // Hashing a long prompt takes a while: not under the lock.
+    // Hashing a long prompt is slow, so it is done without holding the lock.
     const live_run_pointer run(
         new live_run(request, settled, this->settings.batch.block_tokens, *this));
     lock.lock();
@@ -234,7 +234,7 @@
     }
 }
 
-// The scheduler is called late by what the machine makes of a timed wait; it makes up for that.
+// Timed waits wake late by an amount that depends on the machine; the scheduler compensates.
 void engine::step_batch()
 {
     std::unique_lock lock(this->mutex);
--- a/standins/src/engine.hpp
+++ b/standins/src/engine.hpp
@@ -32,7 +32,7 @@
     std::string weight_store; // IP:port; empty: weights need no reading, only loading
 };
 
-// What the engine can be told to do wrong.
+// Faults that can be injected into the engine.
 struct engine_behaviours {
     std::string crash_on;
     bool freeze = false;
@@ -72,8 +72,8 @@
     decision::duration age{};
 };
 
-// The engine without its HTTP. One thread steps the batch in real time; the callers' threads wait
-// on their runs. A run goes on to its end though nobody waits for it, unless it is cancelled.
+// The engine without HTTP. One thread steps the batch in real time; the callers' threads wait for
+// their runs. Unless cancelled, a run completes even if no thread waits for it.
 class engine : private run_observer {
 public:
     explicit engine(const engine_settings& wanted);
@@ -84,18 +84,18 @@
 
     submission submit(const engine_request& request);
 
-    // The run, while it is going on or kept; null otherwise.
+    // The run, if it is in progress or still retained; null otherwise.
     live_run_pointer find(const std::string& run);
 
     // Ends the run unless it has ended. Returns it, or null when it is unknown.
     live_run_pointer cancel(const std::string& run);
 
-    // Does what the order says unless its fencing number is old and the engine checks it.
+    // Executes the order, unless the engine checks fencing and the fencing number is stale.
     bool obey(engine_order order, const std::string& version, std::uint64_t fence);
 
     void behave(const engine_behaviours& wanted);
 
-    // Refuses new runs from now on, and waits until all have ended or the bound is reached.
+    // Refuses new runs from now on, and waits until all have ended or the timeout expires.
     void drain(std::chrono::milliseconds bound);
 
     engine_load_report load_report();
@@ -132,8 +132,8 @@
     std::vector<order_record> orders;
     std::uint64_t refused = 0;
     bool stopping = false;
-    std::thread stepper;                  // it uses all of the above
-    std::optional<weight_loader> weights; // so does its thread
+    std::thread stepper;                  // uses all members above
+    std::optional<weight_loader> weights; // its thread does too
 };
 
 } // namespace pearhaven::standins
--- a/standins/src/engine_reports.hpp
+++ b/standins/src/engine_reports.hpp
@@ -11,14 +11,14 @@
 
 namespace pearhaven::standins {
 
-// The load as it was a while ago.
+// Load history, from which reports are given with a fixed lag.
 class load_history {
 public:
     explicit load_history(decision::duration behind) : lag(behind) {}
 
     void record(const batch_load& load, decision::instant now);
 
-    // The load as it was one lag before.
+    // The load one lag before `now`.
     [[nodiscard]] batch_load report(decision::instant now) const;
 
 private:
@@ -31,15 +31,15 @@
     std::deque<sample> samples;
 };
 
-// Cache events as they are published: late, with gaps, and only the latest ones.
+// Publishes cache events as a real engine would: delayed, with gaps, and only the most recent ones.
 class cache_event_feed {
 public:
-    // `gap_share` (0 to 1) of the events, chosen by a hash of the sequence number, never appear.
+    // `gap_share` (0 to 1) of the events, selected by a hash of the sequence number, are never published.
     cache_event_feed(decision::duration lag, double gap_share);
 
     void publish(const std::vector<cache_event>& events, decision::instant now);
 
-    // The events after the sequence number that can be seen by now.
+    // The events after the sequence number that are published by now.
     [[nodiscard]] std::vector<cache_event> after(std::uint64_t sequence,
                                                  decision::instant now) const;
 
@@ -59,7 +59,7 @@
 public:
     explicit version_table(const std::vector<std::string>& served);
 
-    // Whether an order with the number may be obeyed. It may not when a higher one was seen.
+    // Whether an order with this fencing number is current: false if a higher one was seen before.
     bool pass_fence(std::uint64_t number);
 
     // The version is served from then on.
--- a/standins/src/engine_requests.cpp
+++ b/standins/src/engine_requests.cpp
@@ -18,7 +18,7 @@
     return "own-" + std::to_string(++last);
 }
 
-// A message's content is a text, or a list of parts of which those with a text count.
+// A message's content is a string, or a list of parts of which those without a text are ignored.
 std::string content_text(const nlohmann::json& content)
 {
     if (!content.is_array()) {
--- a/standins/src/engine_service.cpp
+++ b/standins/src/engine_service.cpp
@@ -46,7 +46,7 @@
     case admission::no_such_version:
         answer_not_run(exchange, 404, "no_such_version", "not served: " + request.version);
         return;
-    case admission::duplicate: // it may well have run, so there is no X-Not-Run
+    case admission::duplicate: // it may have run already, so X-Not-Run is not sent
         exchange.answer(409, error_body("duplicate_run", "known already: " + request.run));
         return;
     case admission::refused:
@@ -69,7 +69,7 @@
            path.substr(path.size() - resume_suffix.size()) == resume_suffix;
 }
 
-// Counts an answer as open for as long as it lives.
+// Counts an answer as open until destroyed.
 class open_answer {
 public:
     explicit open_answer(std::atomic<std::uint64_t>& counted_in) : open(counted_in)
@@ -247,7 +247,7 @@
 
 void engine_service::stream(web_exchange& exchange, live_run& run, std::uint64_t offset)
 {
-    if (run.outcome.fails) { // an error status can be sent only before a stream begins
+    if (run.outcome.fails) { // an error status can only be sent before the stream starts
         this->wait_for_end(run);
         answer_failed_run(exchange);
         return;
@@ -257,7 +257,7 @@
     }
 }
 
-// Sends the events from the offset to the end, or until the stream is given up.
+// Sends the events from the offset to the end, or until the stream is aborted.
 void engine_service::stream_tokens(web_exchange& exchange, live_run& run, std::uint64_t offset)
 {
     const auto silencings_before = this->silencings.load();
@@ -288,7 +288,7 @@
     }
 }
 
-// Where the tokens to send end: before `end` if the one truncation that was asked for falls there.
+// Index at which sending stops: before `end` if the requested one-time truncation falls there.
 std::uint64_t engine_service::take_truncation(std::uint64_t sent, std::uint64_t end)
 {
     auto wanted = this->truncate_after.load();
--- a/standins/src/engine_service.hpp
+++ b/standins/src/engine_service.hpp
@@ -15,15 +15,15 @@
 
 behaviour_table<engine_behaviours> engine_behaviour_table();
 
-// The engine over HTTP.
+// Serves the engine over HTTP.
 class engine_service {
 public:
-    // Streams are written when so many tokens are new; the first token always at once.
+    // A stream is written once this many new tokens are available; the first token immediately.
     engine_service(engine& served, unsigned threads, std::uint64_t tokens_per_write = 1);
 
     void add_routes(web_server& server);
 
-    // Waits until no answer is being given any more, or the bound is reached.
+    // Waits until no answer is in progress or the timeout expires.
     void wait_for_answers(std::chrono::milliseconds bound) const;
 
 private:
@@ -50,7 +50,7 @@
     behaviour_control<engine_behaviours> control;
     call_holder holder;
     call_counts counts;
-    // Copies of behaviours that are looked at for each token.
+    // Copies of the behaviours that are checked for each token.
     std::atomic<bool> frozen{false};
     std::atomic<std::uint64_t> silencings{0};
     std::atomic<std::uint64_t> truncate_after{0};
--- a/standins/src/hold.hpp
+++ b/standins/src/hold.hpp
@@ -8,18 +8,18 @@
 
 namespace pearhaven::standins {
 
-// Keeps calls without an answer while a behaviour asks for it. CivetWeb does not tell a handler
-// that its caller has left, so held calls would in time take every thread, those for /control/
-// included, and the behaviour could not be lifted any more. So a call is given up after a while,
-// and at once when too many are held: its connection closes without an answer.
+// Leaves calls unanswered while a behaviour requires it. CivetWeb does not notify a handler when its
+// caller disconnects, so held calls would eventually occupy every thread, including those needed
+// for /control/, and the behaviour could never be turned off. A call is therefore abandoned after a
+// timeout, or immediately if too many are held: its connection closes without an answer.
 class call_holder {
 public:
-    // `threads`: those of the server. A few of them are left free.
+    // `threads`: thread count of the server. A few of them are kept free.
     explicit call_holder(unsigned threads)
         : limit(threads > reserved_threads ? threads - reserved_threads : 0)
     {}
 
-    // Returns when the condition no longer holds, or the call is given up.
+    // Returns when the condition no longer holds or the call is abandoned.
     void hold_while(const std::function<bool()>& condition)
     {
         if (this->held.fetch_add(1) < this->limit) {
--- a/standins/src/host_list.hpp
+++ b/standins/src/host_list.hpp
@@ -12,17 +12,17 @@
 
 namespace pearhaven::standins {
 
-// The hosts as they are, and as a list shows them that learns of each change only a while later.
-// Hosts are kept as the JSON objects that they were given as.
+// The actual hosts, and the host list as published, in which each change appears only after a lag.
+// Hosts are kept as the JSON objects in which they were supplied.
 class host_list {
 public:
     void set(const nlohmann::json& host, decision::instant seen_at);
     void remove(const std::string& name, decision::instant seen_at);
 
-    // The hosts as the list shows them at the time.
+    // The published hosts at the given time.
     nlohmann::json shown(decision::instant now);
 
-    // The hosts as they are.
+    // The actual hosts, without the lag.
     [[nodiscard]] nlohmann::json actual() const;
 
 private:
@@ -42,7 +42,7 @@
     std::deque<change> pending;
 };
 
-// The host with every member that readers expect. Throws nlohmann::json::exception when the name
+// Returns the host with defaults for missing optional members. Throws nlohmann::json::exception when the name
 // or the address is missing or a member has the wrong type.
 nlohmann::json complete_host(const nlohmann::json& given);
 
--- a/standins/src/hosts_main.cpp
+++ b/standins/src/hosts_main.cpp
@@ -31,7 +31,7 @@
     return table;
 }
 
-// The host list over HTTP.
+// Serves the host list over HTTP.
 class hosts_service {
 public:
     explicit hosts_service(unsigned threads) : control(hosts_behaviour_table()), holder(threads)
@@ -39,7 +39,7 @@
         this->control.update([](hosts_behaviours& present) { present.lag_ms = FLAGS_lag_ms; });
     }
 
-    // The hosts of the file are shown at once.
+    // The hosts in the file are visible without the lag.
     void load(const std::string& file)
     {
         std::ifstream input(file);
--- a/standins/src/kv_service.cpp
+++ b/standins/src/kv_service.cpp
@@ -225,8 +225,8 @@
     sleep_ms(this->control.get().reply_delay_ms);
 }
 
-// A watch that waits when an outage begins is left to end quietly: no change reaches it meanwhile,
-// since writes are refused.
+// A watch in progress when an outage begins may end normally: it cannot see a change during the
+// outage, because writes are refused.
 void kv_service::watch(web_exchange& exchange)
 {
     const auto prefix = exchange.query("prefix").value_or("");
@@ -259,7 +259,7 @@
     std::unique_lock lock(this->mutex);
     const auto lease = this->state.grant_lease(ttl, monotonic_now());
     lock.unlock();
-    this->changed.notify_all(); // the expirer has a new end to wait for
+    this->changed.notify_all(); // the expirer has a new expiry time to wait for
     this->delay_reply();
     exchange.answer(200, {{"lease", lease}});
 }
--- a/standins/src/kv_service.hpp
+++ b/standins/src/kv_service.hpp
@@ -15,7 +15,7 @@
 
 namespace pearhaven::standins {
 
-// What the key-value service can be told to do wrong.
+// Faults that can be injected into the key-value service.
 struct kv_behaviours {
     bool outage = false;
     bool silent = false;
@@ -30,7 +30,7 @@
 enum class kv_call { get, range, cas, erase, watch, lease, renew, revoke };
 constexpr std::size_t kv_call_kinds = 8;
 
-// The key-value service over HTTP.
+// Serves the key-value service over HTTP.
 class kv_service {
 public:
     explicit kv_service(unsigned threads);
@@ -76,7 +76,7 @@
     std::uint64_t running = 0;
     std::uint64_t most_running = 0;
     bool stopping = false;
-    std::thread expirer; // last: it uses the others
+    std::thread expirer; // last: uses the members above
 };
 
 } // namespace pearhaven::standins
--- a/standins/src/kv_state.hpp
+++ b/standins/src/kv_state.hpp
@@ -26,20 +26,21 @@
 
 struct kv_result {
     kv_status status = kv_status::applied;
-    std::uint64_t revision = 0; // of the write when applied, else of the whole service
+    std::uint64_t revision = 0; // of the write if applied, otherwise the service's current revision
     std::optional<kv_record> current;
 
     friend bool operator==(const kv_result&, const kv_result&) = default;
 };
 
-// The key-value service without its clock and its calls. Revisions grow over the whole service by
-// one with each change of a key. Calls that take the time first end the leases that are over.
+// State of the key-value service, without clock or HTTP. The revision is global and grows by one
+// with each change of a key. Calls that take the time first expire the leases that are due.
 class kv_state {
 public:
     [[nodiscard]] std::uint64_t revision() const { return this->last_revision; }
 
     // Writes only if the key is at the expected revision (0: only if it is absent). A lease other
-    // than 0 must be alive; the key goes when it ends. A write takes the key off an earlier lease.
+    // than 0 must exist; the key is deleted when it ends. A write detaches the key from an earlier
+    // lease.
     kv_result compare_and_swap(const std::string& key, const std::string& value,
                                std::uint64_t expected, std::uint64_t lease, decision::instant now);
 
@@ -59,10 +60,10 @@
     bool renew_lease(std::uint64_t lease, decision::instant now);
     bool revoke_lease(std::uint64_t lease, decision::instant now);
 
-    // Ends the leases that are over and deletes their keys.
+    // Ends the expired leases and deletes their keys.
     void expire(decision::instant now);
 
-    // When the next lease ends, if there is one.
+    // The time at which the next lease expires, if there is one.
     [[nodiscard]] std::optional<decision::instant> next_expiry() const;
 
     [[nodiscard]] std::size_t lease_count() const { return this->leases.size(); }
@@ -87,7 +88,7 @@
 
     std::uint64_t last_revision = 0;
     std::uint64_t last_lease = 0;
-    std::map<std::string, stored> changes; // a deleted key stays, for the watches
+    std::map<std::string, stored> changes; // deleted keys are kept so that watches see the deletion
     std::map<std::uint64_t, std::string> keys_by_revision;
     std::map<std::uint64_t, lease_record> leases;
 };
--- a/standins/src/live_run.cpp
+++ b/standins/src/live_run.cpp
@@ -28,8 +28,8 @@
     this->observer.run_started(*this);
 }
 
-// Wakes the waiting threads only when it is of use to one of them: with thousands of runs, that is
-// most of what a step costs.
+// Wakes the waiting threads only if one of them can proceed: with thousands of runs, wake-ups are
+// most of the cost of a step.
 void live_run::on_progress()
 {
     const bool ended = has_ended(this->progress.state);
--- a/standins/src/live_run.hpp
+++ b/standins/src/live_run.hpp
@@ -12,7 +12,7 @@
 
 namespace pearhaven::standins {
 
-// What a request asks an engine for.
+// A request to the engine.
 struct engine_request {
     std::string run;     // one attempt
     std::string request; // one request over all its attempts
@@ -25,17 +25,17 @@
     friend bool operator==(const engine_request&, const engine_request&) = default;
 };
 
-// How a run's answer turns out, settled when it is accepted so that a resumed stream agrees.
+// Outcome of a run's answer, decided at acceptance so that a resumed stream is consistent with it.
 struct run_outcome {
-    bool bad = false;   // every token is marked as wrong
-    bool fails = false; // it runs to its end, then the answer is an error
+    bool bad = false;   // every token has the bad-answer prefix
+    bool fails = false; // the run completes, but the answer is an error
 
     friend bool operator==(const run_outcome&, const run_outcome&) = default;
 };
 
 class live_run;
 
-// Hears of the runs' way through the batch, on the thread that calls the scheduler.
+// Notified when runs start and end, on the thread that calls the scheduler.
 class run_observer {
 public:
     virtual ~run_observer() = default;
@@ -43,24 +43,24 @@
     virtual void run_ended(live_run& run) = 0;
 };
 
-// A run that connections' threads wait on. Any number of them may, as a run can be resumed while
-// its first connection is still open.
+// A run that connection threads can wait on. Several may wait at once, because a run can be resumed
+// while its first connection is still open.
 class live_run : public scheduled_run {
 public:
-    // The observer must outlive the run's time with the scheduler.
+    // The observer must outlive the run's stay in the scheduler.
     live_run(engine_request wanted, run_outcome settled, std::uint64_t block_tokens,
              run_observer& watcher);
 
     void on_start() override;
     void on_progress() override;
 
-    // Waits until there are as many tokens, the run has ended, or `disturb` was called; for a
-    // second at the longest. Returns the progress.
+    // Waits until there are that many tokens, the run has ended or `wake_waiters` was called, for at
+    // most one second. Returns the progress.
     run_progress wait_for_tokens(std::uint64_t wanted);
 
     [[nodiscard]] run_progress seen_progress() const;
 
-    // Wakes all that wait, to look at the behaviours again.
+    // Wakes all waiting threads so that they check the behaviours again.
     void disturb();
 
     [[nodiscard]] std::string token(std::uint64_t index) const;
@@ -70,7 +70,7 @@
     const run_outcome outcome;
 
     // Set by the observer only.
-    std::optional<std::size_t> log_number; // nothing: never started
+    std::optional<std::size_t> log_number; // empty: never started
     decision::instant ended_at;
 
 private:
@@ -81,7 +81,7 @@
     mutable std::mutex mutex;
     std::condition_variable changed;
     run_progress published;
-    std::uint64_t wake_at = nobody_waits; // the fewest tokens that somebody waits for
+    std::uint64_t wake_at = nobody_waits; // the lowest token count that a thread waits for
     bool disturbed = false;
 };
 
--- a/standins/src/paced_buffer.cpp
+++ b/standins/src/paced_buffer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A limited rate is kept by spacing out pieces of this many bytes at most.
+// With a rate limit, bytes are sent in evenly spaced pieces of at most this size.
 constexpr std::size_t rated_piece = 1024;
 
 decision::duration time_for(std::size_t bytes, std::uint64_t bytes_per_second)
--- a/standins/src/paced_buffer.hpp
+++ b/standins/src/paced_buffer.hpp
@@ -11,27 +11,27 @@
 
 namespace pearhaven::standins {
 
-// How a proxied direction holds bytes back.
+// Delay and rate limit of one direction of a proxied connection.
 struct pacing {
-    decision::duration delay{};         // each byte goes out this much later than it came
+    decision::duration delay{};         // time between receiving and sending a byte
     std::uint64_t bytes_per_second = 0; // 0: no limit
 
     friend bool operator==(const pacing&, const pacing&) = default;
 };
 
-// Bytes on their way through a proxy, in order, each with the time from which it may go out. Told
-// the time, so that it needs neither a socket nor a clock.
+// FIFO buffer of bytes passing through a proxy, each with the earliest time at which it may be
+// sent. The caller passes the time in, so the buffer needs neither a socket nor a clock.
 class paced_buffer {
 public:
     void push(std::string_view bytes, const pacing& wanted, decision::instant now);
 
-    // The next bytes that may go out, at most one read's worth; empty when there are none yet.
+    // The next bytes that may be sent, at most one chunk as received; empty if none are due yet.
     [[nodiscard]] std::string_view ready(decision::instant now) const;
 
-    // Takes away the first bytes of `ready`.
+    // Removes bytes from the front of `ready`.
     void pop(std::size_t bytes);
 
-    // When the next bytes may go out, if there are any.
+    // The time at which the next bytes may be sent, if there are any.
     [[nodiscard]] std::optional<decision::instant> next_due() const;
 
     [[nodiscard]] std::size_t size() const { return this->total; }
@@ -44,7 +44,7 @@
     };
 
     std::deque<chunk> chunks;
-    std::size_t front_sent = 0; // bytes of the first chunk that went out
+    std::size_t front_sent = 0; // bytes of the first chunk already sent
     std::size_t total = 0;
     decision::instant last_due;
 };
--- a/standins/src/plain_service.hpp
+++ b/standins/src/plain_service.hpp
@@ -13,7 +13,7 @@
 
 namespace pearhaven::standins {
 
-// What the plain service can be told to do wrong.
+// Faults that can be injected into the plain service.
 struct plain_behaviours {
     bool refuse = false;
     bool fail = false;
@@ -24,7 +24,7 @@
 
 behaviour_table<plain_behaviours> plain_behaviour_table();
 
-// A service that runs any call on any path and answers what it ran.
+// A service that accepts any call on any path and answers with a description of what it ran.
 class plain_service {
 public:
     plain_service(std::string service_name, std::chrono::milliseconds service_time,
--- a/standins/src/prefix_cache.hpp
+++ b/standins/src/prefix_cache.hpp
@@ -10,11 +10,11 @@
 
 namespace pearhaven::standins {
 
-// Hash that names the prefix of a prompt up to the end of a block of tokens.
+// Identifies the prefix of a prompt that ends at the end of a block of tokens.
 using prefix_hash = std::uint64_t;
 
-// Hashes of a prompt's prefixes of 1, 2, ... whole blocks: XXH3 (64 bits) of the prefix's bytes.
-// A token is four bytes of the prompt; a part of a block at the end counts for nothing.
+// Hashes of a prompt's prefixes of 1, 2, ... full blocks: XXH3 (64 bits) of the prefix's bytes.
+// A token is four bytes of the prompt; a partial block at the end is ignored.
 std::vector<prefix_hash> prefix_hashes(std::string_view prompt, std::uint64_t block_tokens);
 
 // The hash as cache events show it: 16 hexadecimal digits.
@@ -30,16 +30,16 @@
     friend bool operator==(const cache_event&, const cache_event&) = default;
 };
 
-// Blocks of prompt prefixes in limited memory. The block that was used least lately goes first; of
-// one prompt's blocks the last, since a block is of no use without those before it.
+// LRU cache of prompt prefix blocks with a bounded size. Among the blocks of one prompt, the last is
+// evicted first, because a block is useless without those before it.
 class prefix_cache {
 public:
     prefix_cache(std::uint64_t capacity_tokens, std::uint64_t block_tokens);
 
-    // Number of tokens at the beginning of the prompt that are cached. Marks them as used.
+    // Returns how many tokens at the start of the prompt are cached, and marks them as used.
     std::uint64_t use(const std::vector<prefix_hash>& prompt);
 
-    // Keeps the prompt's blocks, and drops others to make room.
+    // Adds the prompt's blocks, evicting others to make room.
     void add(const std::vector<prefix_hash>& prompt);
 
     [[nodiscard]] std::uint64_t tokens() const { return this->blocks.size() * this->block_tokens; }
--- a/standins/src/program.hpp
+++ b/standins/src/program.hpp
@@ -15,10 +15,10 @@
 // `serve_until_terminated` alone receives them. Call it first in main.
 void begin_program(int argc, char** argv, const std::string& usage);
 
-// What the flags --listen, --threads and --keep_alive_ms say.
+// Settings from the flags --listen, --threads and --keep_alive_ms.
 web_settings web_settings_from_flags();
 
-// Prints a line with an address for whoever started the program, at once.
+// Prints a line with an address for the parent process and flushes it.
 void announce(const std::string& what, const std::string& address);
 
 void wait_for_termination();
@@ -26,14 +26,14 @@
 // Starts the server, prints `listening on IP:port` and waits for SIGTERM or SIGINT.
 void serve_until_terminated(web_server& server);
 
-// Ends the process with status 0. Handlers may be holding connections on purpose and for good, so
-// nothing is joined; a stand-in has nothing to save.
+// Exits with status 0 without joining any thread: handlers may hold connections open indefinitely
+// by design, and a stand-in has no state to save.
 [[noreturn]] void end_program();
 
-// The monotonic clock, as the pure parts are told it.
+// The monotonic clock's time in the form taken by the classes that don't read a clock themselves.
 decision::instant monotonic_now();
 
-// The steady clock's point for an instant, to wait for it.
+// Converts an instant to a time point of the steady clock, for timed waits.
 std::chrono::steady_clock::time_point steady_point(decision::instant when);
 
 std::int64_t unix_ms();
--- a/standins/src/proxied_connection.cpp
+++ b/standins/src/proxied_connection.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t read_size = 65536;
 
-// Reading stops while more than this is held back, so that the sender feels it.
+// Reading stops while more than this is buffered, so that the sender sees backpressure.
 constexpr std::size_t most_held = 4 * read_size;
 
 bool would_block()
@@ -72,7 +72,7 @@
     }
     if (length == 0) {
         flow.ended = true;
-        flow.passed_end = flow.passed_end || swallowed; // the end is swallowed too
+        flow.passed_end = flow.passed_end || swallowed; // the end is discarded as well
     } else if (!swallowed) {
         flow.buffer.push({bytes.data(), static_cast<std::size_t>(length)}, faults.paced, now);
     }
@@ -113,7 +113,7 @@
         flow.moved += static_cast<std::uint64_t>(sent);
         flow.counted += static_cast<std::uint64_t>(sent);
         if (limit > 0 && flow.counted >= limit) {
-            sink.socket.close(); // an orderly end in the wrong place, not a reset
+            sink.socket.close(); // an orderly shutdown in mid-stream, not a reset
             return false;
         }
     }
@@ -129,8 +129,8 @@
     }
 }
 
-// The other side learns of it, unless what comes from the broken side is swallowed: then it is left
-// with a connection on which nothing happens any more.
+// Propagates the failure to the other side, unless the broken side's direction is swallowed: then
+// the other side keeps an open connection on which nothing more arrives.
 bool proxied_connection::break_off(proxy_side broken, const proxy_faults& faults)
 {
     const bool swallowed =
@@ -191,8 +191,8 @@
     this->set_watched(this->server, server_events);
 }
 
-// A socket with nothing to wait for is taken out of the set: epoll would report its errors and its
-// end over and over otherwise.
+// A socket with nothing to wait for is removed from the epoll set; otherwise epoll would report its
+// errors and hang-up repeatedly.
 void proxied_connection::set_watched(socket_end& end, std::uint32_t events) const
 {
     if (end.watched == events || !end.socket.is_open()) {
--- a/standins/src/proxied_connection.hpp
+++ b/standins/src/proxied_connection.hpp
@@ -12,10 +12,10 @@
 
 namespace pearhaven::standins {
 
-// What the proxy does to the bytes of its connections at present.
+// Faults currently injected into the proxy's connections.
 struct proxy_faults {
-    bool silent = false;            // nothing moves, ends of connections included
-    bool swallow_to_server = false; // bytes are read and thrown away
+    bool silent = false;            // nothing is forwarded, not even the end of a connection
+    bool swallow_to_server = false; // bytes are read and discarded
     bool swallow_to_client = false;
     pacing paced;
     std::uint64_t truncate_to_client_after = 0; // bytes; 0: never
@@ -25,10 +25,10 @@
 
 enum class proxy_side { client, server };
 
-// What the connections of one loop share.
+// State shared by the connections of one event loop.
 struct proxy_loop {
     int epoll_set = -1;
-    std::vector<char> scratch; // what was read last; on the heap, as CivetWeb's stacks are small
+    std::vector<char> scratch; // read buffer; on the heap, because CivetWeb's thread stacks are small
 };
 
 struct byte_counts {
@@ -36,10 +36,10 @@
     std::uint64_t to_client = 0;
 };
 
-// One caller's connection and the one that the proxy made for it. Belongs to the loop's thread.
+// A client's connection and the matching one to the server. Used only on the loop's thread.
 class proxied_connection : public boost::intrusive::list_base_hook<> {
 public:
-    // What an epoll event points to.
+    // Target of an epoll event's data pointer.
     struct socket_end {
         proxied_connection* connection = nullptr;
         proxy_side side = proxy_side::client;
@@ -54,13 +54,13 @@
     bool handle(proxy_side side, std::uint32_t events, const proxy_faults& faults,
                 decision::instant now);
 
-    // Sends what is due. False when the connection is over.
+    // Sends the bytes that are due. False when the connection is over.
     bool flush(const proxy_faults& faults, decision::instant now);
 
-    // Watches the sockets for what can be done next. Call it after each of the others.
+    // Updates the epoll events of both sockets. Call it after each of the other functions.
     void watch(const proxy_faults& faults, decision::instant now);
 
-    // The connection goes silent for good: the ends learn of nothing any more.
+    // Silences the connection permanently: neither end receives anything more, not even its end.
     void silence() { this->silenced = true; }
 
     // Restarts the count for truncation.
@@ -69,23 +69,23 @@
     // Closes both sides with a reset.
     void reset();
 
-    // Closes both sides in good order.
+    // Closes both sides with an orderly shutdown.
     void close();
 
-    // When the next bytes that are still held back may go out, if there are any.
+    // The time at which the next delayed bytes may be sent, if there are any.
     [[nodiscard]] std::optional<decision::instant> next_due(decision::instant now) const;
 
     [[nodiscard]] byte_counts moved() const;
 
-    // Kept by the loop: when it will call `flush`.
+    // Set by the loop: when it will call `flush`.
     std::optional<decision::instant> timer;
 
 private:
     struct byte_flow {
         paced_buffer buffer;
-        bool ended = false;        // the source will send no more
-        bool passed_end = false;   // and the sink was told
-        std::uint64_t moved = 0;   // bytes that went out
+        bool ended = false;        // the source has closed its side
+        bool passed_end = false;   // the end was forwarded to the sink
+        std::uint64_t moved = 0;   // bytes sent
         std::uint64_t counted = 0; // of them, those since the last `count_from_here`
     };
 
--- a/standins/src/proxy_main.cpp
+++ b/standins/src/proxy_main.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Few callers use the controls at a time.
+// The control interface has few concurrent callers.
 constexpr unsigned admin_threads = 8;
 
 nlohmann::json to_json(const standins::proxy_counts& counts)
@@ -23,7 +23,7 @@
             {"bytes_to_client", counts.bytes_to_client}};
 }
 
-// The proxy's controls over HTTP.
+// Serves the proxy's control interface over HTTP.
 class proxy_controls {
 public:
     explicit proxy_controls(standins::tcp_proxy& controlled)
--- a/standins/src/rate_limit.hpp
+++ b/standins/src/rate_limit.hpp
@@ -7,12 +7,12 @@
 
 namespace pearhaven::standins {
 
-// Token bucket. It is full at first.
+// Token bucket, initially full.
 class rate_limit {
 public:
     rate_limit(double rate_per_s, double bucket) : rate(rate_per_s), burst(bucket), left(bucket) {}
 
-    // Takes one if there is one.
+    // Takes one token if available.
     bool take(decision::instant now)
     {
         const std::chrono::duration<double> passed = now - this->filled_at;
--- a/standins/src/rater.cpp
+++ b/standins/src/rater.cpp
@@ -32,7 +32,7 @@
 
 std::optional<bool> rate(const rated_answer& answer, const rating_settings& settings)
 {
-    // Other hashes than that of the request alone: neither noise nor gaps go with the quality.
+    // Separate hashes, so that neither noise nor gaps correlate with the quality.
     if (settings.outage || in_share("gap " + answer.request + answer.version, settings.gaps)) {
         return std::nullopt;
     }
--- a/standins/src/rating_main.cpp
+++ b/standins/src/rating_main.cpp
@@ -28,7 +28,7 @@
     return table;
 }
 
-// The rating service over HTTP.
+// Serves the rating service over HTTP.
 class rating_service {
 public:
     rating_service() : control(rating_behaviour_table())
--- a/standins/src/run_log.hpp
+++ b/standins/src/run_log.hpp
@@ -10,7 +10,7 @@
 
 namespace pearhaven::standins {
 
-// How a run that has started goes on. `lost`: it ran, but its answer is never given.
+// State of a run that has started. `lost`: it ran, but its answer is never delivered.
 enum class logged_state { running, finished, cancelled, lost };
 
 struct logged_run {
@@ -26,8 +26,8 @@
     friend bool operator==(const logged_run&, const logged_run&) = default;
 };
 
-// Every run that an endpoint has started, for history checks: what is not in it was not run. It
-// grows for as long as the process lives.
+// Every run that an endpoint has started, for history checks: a run that is missing here was never
+// executed. Entries are never removed.
 class run_log {
 public:
     // Returns the number that `update` takes.
--- a/standins/src/shares.hpp
+++ b/standins/src/shares.hpp
@@ -5,8 +5,8 @@
 
 namespace pearhaven::standins {
 
-// Whether the one that the text names belongs to the share (0 to 1) of all, by a hash of the text:
-// the same answer each time. Whatever is in a share is in every larger one.
+// Whether the item identified by the text falls into the share (0 to 1) of all items, by a hash of
+// the text. Deterministic; an item in one share is also in every larger share.
 bool in_share(const std::string& name, double share);
 
 } // namespace pearhaven::standins
--- a/standins/src/socket_handle.hpp
+++ b/standins/src/socket_handle.hpp
@@ -32,23 +32,24 @@
     [[nodiscard]] bool is_open() const { return this->descriptor >= 0; }
     void close();
 
-    // Closes so that the other end gets a reset in place of an orderly end.
+    // Closes with a TCP reset instead of an orderly shutdown.
     void reset();
 
 private:
     int descriptor = -1;
 };
 
-// All of these throw std::system_error or std::invalid_argument when they fail. Addresses are
-// IP:port, IPv4.
+// The functions below throw std::system_error or std::invalid_argument on failure. Addresses are
+// IPv4, as IP:port.
 
-// A socket that is bound but does not listen. It keeps the port for `listening_socket`.
+// A socket that is bound but not listening; reserves the port for `listening_socket`.
 socket_handle reserved_socket(const std::string& address);
 
-// A listening socket on an address that `reserved_socket` keeps.
+// A listening socket on an address reserved by `reserved_socket`.
 socket_handle listening_socket(const std::string& address);
 
-// A socket whose connection is being made; writable, or in error, when that is decided.
+// A socket with a connection attempt in progress; becomes writable, or reports an error, when it
+// completes.
 socket_handle connecting_socket(const std::string& address);
 
 // The address that the socket is bound to.
--- a/standins/src/sse_events.cpp
+++ b/standins/src/sse_events.cpp
@@ -13,7 +13,7 @@
                                   nlohmann::json(told.request.version).dump()))
 {}
 
-// Tokens are letters and spaces only, so that nothing in them has to be escaped.
+// Tokens consist of letters and spaces only, so no JSON escaping is needed.
 void sse_events::append_token(std::string& text, std::uint64_t index) const
 {
     constexpr auto rest =
--- a/standins/src/sse_events.hpp
+++ b/standins/src/sse_events.hpp
@@ -15,15 +15,15 @@
     // Appends the event of one token.
     void append_token(std::string& text, std::uint64_t index) const;
 
-    // Appends the event that says the answer is whole, and the mark of the stream's end.
+    // Appends the event that marks the answer as complete, and the end-of-stream marker.
     void append_end(std::string& text, const run_progress& progress) const;
 
 private:
     const live_run& run;
-    std::string head; // what all the run's events begin with
+    std::string head; // common start of all events of the run
 };
 
-// `usage` of an answer.
+// The `usage` object of an answer.
 std::string usage_json(const live_run& run, const run_progress& progress);
 
 } // namespace pearhaven::standins
--- a/standins/src/tcp_proxy.cpp
+++ b/standins/src/tcp_proxy.cpp
@@ -185,7 +185,7 @@
     }
     auto* end = static_cast<proxied_connection::socket_end*>(tag);
     if (!end->socket.is_open()) {
-        return; // it ended by an earlier event of this round
+        return; // closed by an earlier event of this batch
     }
     auto& connection = *end->connection;
     const bool going_on = connection.handle(end->side, events, this->faults, now);
@@ -209,7 +209,7 @@
             this->connections.push_back(*made);
             this->settle(*made, true, now);
         } catch (const std::system_error&) {
-            client.reset(); // refused at once, as by the server itself
+            client.reset(); // refused immediately, as the server would
         }
     }
 }
@@ -280,7 +280,7 @@
         }
         this->settle(connection, connection.flush(this->faults, now), now);
     }
-    this->accept_all(now); // those that came while all was silent
+    this->accept_all(now); // connections that arrived during the silence
 }
 
 void tcp_proxy::close_everything()
--- a/standins/src/tcp_proxy.hpp
+++ b/standins/src/tcp_proxy.hpp
@@ -18,7 +18,7 @@
 
 namespace pearhaven::standins {
 
-// What the proxy can be told to do.
+// Faults that can be injected into the proxy.
 struct proxy_behaviours {
     bool cut = false;
     std::string one_way;
@@ -41,10 +41,10 @@
     std::uint64_t bytes_to_client = 0;
 };
 
-// Passes TCP connections on to one address, and spoils them as told. One thread moves all bytes.
+// Forwards TCP connections to one address and injects faults. One thread moves all bytes.
 class tcp_proxy {
 public:
-    // Listens at once. Throws std::system_error or std::invalid_argument for a bad address.
+    // Starts listening. Throws std::system_error or std::invalid_argument for a bad address.
     tcp_proxy(const std::string& listen, std::string to);
     ~tcp_proxy();
 
@@ -53,7 +53,7 @@
 
     [[nodiscard]] const std::string& address() const { return this->listen_address; }
 
-    // Returns when the behaviours are in force. `silence_open` acts once on each call.
+    // Returns once the behaviours are applied. `silence_open` acts once per call.
     void apply(const proxy_behaviours& wanted);
 
     proxy_counts counts();
@@ -81,25 +81,25 @@
     [[nodiscard]] int wait_ms(decision::instant now) const;
 
     const std::string to_address;
-    socket_handle reservation; // keeps the port while the proxy refuses connections
+    socket_handle reservation; // reserves the port while the proxy refuses connections
     std::string listen_address;
     socket_handle epoll_set;
     socket_handle wake_up;
     proxy_loop shared;
 
-    // Of the loop's thread.
+    // Used only on the loop's thread.
     socket_handle listener;
     proxy_behaviours behaviours;
     proxy_faults faults;
     connection_list connections;
-    std::vector<proxied_connection*> over; // removed, but events for them may be in hand
+    std::vector<proxied_connection*> over; // removed, but the current batch of events may refer to them
     timer_set timers;
     proxy_counts totals;
 
     std::mutex mutex; // guards the two below
     std::vector<std::function<void()>> actions;
     bool stopping = false;
-    std::thread thread; // last: it uses the others
+    std::thread thread; // last: uses the members above
 };
 
 } // namespace pearhaven::standins
--- a/standins/src/web_client.hpp
+++ b/standins/src/web_client.hpp
@@ -17,13 +17,13 @@
 struct web_answer {
     int status = 0; // 0: no answer
     std::string body;
-    bool not_run = false; // the field X-Not-Run was there
-    bool whole = false;   // the body came to its end
+    bool not_run = false; // the header field X-Not-Run was present
+    bool whole = false;   // the body was received completely
 
     friend bool operator==(const web_answer&, const web_answer&) = default;
 };
 
-// Makes one call on a connection of its own and waits for the whole answer. The address is IP:port.
+// Makes one call on a new connection and waits for the complete answer. The address is IP:port.
 web_answer call(const std::string& address, const web_call& wanted);
 
 } // namespace pearhaven::standins
--- a/standins/src/web_exchange.cpp
+++ b/standins/src/web_exchange.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t read_size = 4096; // CivetWeb's threads have small stacks
+constexpr std::size_t read_size = 4096; // CivetWeb's thread stacks are small
 
 std::string text_or_empty(const char* text)
 {
--- a/standins/src/web_server.cpp
+++ b/standins/src/web_server.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Longest time that one read or write on a connection may take.
+// Max time for one read or write on a connection.
 constexpr const char* io_timeout_ms = "60000";
 constexpr const char* connection_queue = "4096";
 
--- a/standins/src/web_server.hpp
+++ b/standins/src/web_server.hpp
@@ -11,7 +11,7 @@
 
 namespace pearhaven::standins {
 
-// How a server listens. A connection holds a thread for as long as it is open.
+// Settings of a server. Each open connection occupies a thread.
 struct web_settings {
     std::string listen = "127.0.0.1:0";
     unsigned threads = 512;
@@ -32,10 +32,10 @@
     web_server& operator=(const web_server&) = delete;
 
     // Adds a route for the method ("*": any) and all paths that start with the prefix. The first
-    // that fits wins. All routes are added before `start`.
+    // match wins. Add all routes before `start`.
     void route(std::string method, std::string prefix, handler action);
 
-    // Binds and begins to answer. Returns the address that was bound, as IP:port.
+    // Binds and starts serving. Returns the bound address as IP:port.
     std::string start();
 
 private:
--- a/standins/src/weight_loader.hpp
+++ b/standins/src/weight_loader.hpp
@@ -11,8 +11,8 @@
 
 namespace pearhaven::standins {
 
-// Reads the weights of versions from the weight store, one after the other, on a thread of its own.
-// A read that is refused, or gets no answer, is tried again every second.
+// Reads the weights of versions from the weight store, one at a time, on its own thread. A read that
+// is refused or not answered is retried every second.
 class weight_loader {
 public:
     using loaded_hook = std::function<void(const std::string& version)>;
@@ -26,10 +26,10 @@
 
     void want(const std::string& version);
 
-    // Gives up a read that is not done yet.
+    // Cancels a read that has not completed.
     void forget(const std::string& version);
 
-    // Reads that the store has refused, or not answered.
+    // Number of reads that the store refused or did not answer.
     [[nodiscard]] std::uint64_t failures() const;
 
 private:
@@ -42,7 +42,7 @@
     std::set<std::string> wanted;
     std::uint64_t failed = 0;
     bool stopping = false;
-    std::thread thread; // last: it uses the others
+    std::thread thread; // last: uses the members above
 };
 
 } // namespace pearhaven::standins
--- a/standins/src/weights_main.cpp
+++ b/standins/src/weights_main.cpp
@@ -29,7 +29,7 @@
     return table;
 }
 
-// The weight store over HTTP.
+// Serves the weight store over HTTP.
 class weights_service {
 public:
     weights_service() : control(weights_behaviour_table()), limit(FLAGS_loads_per_s, FLAGS_burst)
--- a/standins/test/answer_text_test.cpp
+++ b/standins/test/answer_text_test.cpp
@@ -31,7 +31,7 @@
     CHECK_TRUE(answer_text("p", "v", 1000).find(bad_mark) == std::string::npos);
 }
 
-// A change here breaks every recorded history and every test that knows an answer.
+// Changing the answers breaks every recorded history and every test with an expected answer.
 TEST(answer_text, stays_what_it_was)
 {
     CHECK_EQUAL(std::string("kewizoto "), answer_token("user: hello there\n", "a", 0));
--- a/standins/test/batch_scheduler_test.cpp
+++ b/standins/test/batch_scheduler_test.cpp
@@ -40,7 +40,7 @@
 {
     batch_scheduler scheduler{small_engine()};
 
-    // Lets the time pass in steps of the batch until nothing is left to do. Returns the end.
+    // Advances the time step by step until the scheduler is idle. Returns the end time.
     pearhaven::decision::instant finish_all(pearhaven::decision::instant now)
     {
         while (const auto next = this->scheduler.advance(now)) {
@@ -118,8 +118,8 @@
     CHECK_TRUE(run->progress.state == run_state::finished);
 }
 
-// A long prompt in the batch slows down the tokens of the run beside it: the effect that a router
-// has to keep long readings and quick lookups apart for.
+// A long prompt in the batch slows down the other runs' tokens. Because of this effect, a router has
+// to separate long prefills from short requests.
 TEST(batch_scheduler, slows_the_batch_down_while_a_prompt_is_read)
 {
     scheduler.submit(new_run(10));
@@ -181,7 +181,7 @@
     scheduler.submit(new_run(100));
     scheduler.advance(at_ms(0));
     CHECK_TRUE(*scheduler.advance(at_ms(15)) == at_ms(22));
-    CHECK_TRUE(*scheduler.advance(at_ms(1000)) == at_ms(1011)); // not for one that was away
+    CHECK_TRUE(*scheduler.advance(at_ms(1000)) == at_ms(1011)); // no catch-up for a caller that was very late
 }
 
 TEST(batch_scheduler, takes_longer_steps_by_the_slow_factor)
--- a/standins/test/engine_service_test.cpp
+++ b/standins/test/engine_service_test.cpp
@@ -50,8 +50,8 @@
     return text;
 }
 
-// One call that reads the bytes of the answer as they come, up to the connection's end: CivetWeb's
-// client gives none of them when a stream is cut. The marks of the chunks stay in the text.
+// Makes one call and reads the raw bytes of the answer until the connection ends, because CivetWeb's
+// client returns nothing when a stream is cut off. The chunk headers stay in the text.
 std::string raw_call(const std::string& address, const std::string& method, const std::string& path,
                      const std::string& head, const std::string& body)
 {
@@ -141,8 +141,8 @@
     LONGS_EQUAL(20, answer.at("usage").at("completion_tokens").get<int>());
 }
 
-// The caller's stream stops in the middle. The engine's run goes on, so that a resumed stream gives
-// the rest, with no token twice and none left out.
+// The caller's stream is cut off midway while the engine's run continues. A resumed stream must
+// deliver the rest, without duplicate or missing tokens.
 TEST(engine_service, resumes_a_truncated_stream_at_its_offset)
 {
     behave({{"truncate_after", 7}});
--- a/standins/test/engine_test.cpp
+++ b/standins/test/engine_test.cpp
@@ -83,8 +83,8 @@
     CHECK_TRUE(forgetful.find("r1") == nullptr);
 }
 
-// A client library may send a request again by itself when a reused connection breaks. The caller
-// sees one answer, while the engine would have run one attempt twice.
+// A client library may resend a request on its own when a reused connection breaks. The caller sees
+// one answer, while the engine would have run one attempt twice.
 TEST(engine, never_runs_one_attempt_twice)
 {
     wait_for_end(*served.submit(request_for("r1", 1)).run);
@@ -142,7 +142,7 @@
     const auto submitted = served.submit(request_for("r1", endless));
     submitted.run->wait_for_tokens(1);
     behave([](engine_behaviours& wanted) { wanted.freeze = true; });
-    submitted.run->wait_for_tokens(endless); // woken by the change of behaviours
+    submitted.run->wait_for_tokens(endless); // woken by the behaviour change
     const auto frozen_at = submitted.run->seen_progress().tokens;
     LONGS_EQUAL(frozen_at, submitted.run->wait_for_tokens(frozen_at + 1).tokens);
     behave([](engine_behaviours&) {});
--- a/standins/test/hold_test.cpp
+++ b/standins/test/hold_test.cpp
@@ -8,9 +8,8 @@
 
 TEST_GROUP(hold){};
 
-// A test tells a stand-in to be silent, and its callers go on calling. Held calls come to take
-// every thread of the server; then the call that would lift the silence finds none, and the
-// stand-in stays silent for ever.
+// A silenced stand-in keeps receiving calls. If the held calls occupied every thread of the server,
+// the call that ends the silence could not be served and the stand-in would stay silent forever.
 TEST(hold, keeps_threads_free_for_the_controls)
 {
     constexpr unsigned threads = 33; // room for one held call
@@ -33,5 +32,5 @@
     });
     silent = false;
     first.join();
-    CHECK_FALSE(second_looked); // given up at once
+    CHECK_FALSE(second_looked); // abandoned immediately
 }
--- a/standins/test/tcp_proxy_test.cpp
+++ b/standins/test/tcp_proxy_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// How long silence is listened to. A fault that lets bytes through shows at once.
+// How long the absence of bytes is checked. A fault that lets bytes through is visible immediately.
 constexpr int silence_ms = 200;
 
 bool is_refused(const std::string& address)
@@ -27,7 +27,7 @@
     return problem == ECONNREFUSED;
 }
 
-// Whether the connection has ended, in good order or not.
+// Whether the connection has ended, with an orderly shutdown or a reset.
 bool has_ended_by_now(const socket_handle& socket, int timeout_ms)
 {
     char byte = 0;
@@ -103,8 +103,8 @@
     CHECK_EQUAL(std::string(), receive(client, 5, silence_ms));
 }
 
-// Something between the two ends has lost track of the connection: neither end learns that the
-// other has closed it, while a new connection works.
+// A middlebox has dropped the connection's state: neither end is notified when the other closes it,
+// while new connections work.
 TEST(tcp_proxy, silences_open_connections_for_good)
 {
     open();
--- a/standins/test/test_time.hpp
+++ b/standins/test/test_time.hpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <cstdint>
 
-// The virtual time that a test tells.
+// A point in the test's virtual time.
 inline pearhaven::decision::instant at_ms(std::int64_t milliseconds)
 {
     return pearhaven::decision::instant(std::chrono::milliseconds(milliseconds));
--- a/standins/test/weight_loader_test.cpp
+++ b/standins/test/weight_loader_test.cpp
@@ -11,7 +11,7 @@
 TEST_GROUP(weight_loader)
 {
     std::atomic<int> calls{0};
-    std::atomic<int> refusals{0}; // how many calls the store refuses first
+    std::atomic<int> refusals{0}; // number of initial calls that the store refuses
     std::optional<web_server> store;
     std::string address;
 
