--- a/standins/src/behaviours.hpp
+++ b/standins/src/behaviours.hpp
@@ -15,8 +15,8 @@
 
 namespace pearhaven::standins {
 
-// Table of the members of a settings struct that `POST /control/behave` may set. The text for --help
-// is generated from the same table, so the two cannot differ.
+// Table of the members of a settings struct that `POST /control/behave` may set. The text for
+// --help is generated from the same table, so the two cannot differ.
 template <class settings>
 class behaviour_table {
 public:
--- a/standins/src/engine.cpp
+++ b/standins/src/engine.cpp
@@ -47,8 +47,9 @@
       stepper([this] { this->step_batch(); })
 {
     if (!wanted.weight_store.empty()) {
-        this->weights.emplace(wanted.weight_store,
-                              [this](const std::string& version) { this->weights_read(version); });
+        this->weights.emplace(wanted.weight_store, [this](const std::string& version) {
+            this->on_weights_read(version);
+        });
     }
 }
 
@@ -80,7 +81,7 @@
     return admission::accepted;
 }
 
-run_outcome engine::settle(const engine_request& request) const
+run_outcome engine::choose_outcome(const engine_request& request) const
 {
     const auto& only = this->behaviours.version;
     if (!only.empty() && only != request.version) {
@@ -93,7 +94,7 @@
 {
     std::unique_lock lock(this->mutex);
     auto outcome = this->admit(request);
-    const auto settled = this->settle(request);
+    const auto chosen_outcome = this->choose_outcome(request);
     lock.unlock();
     if (outcome != admission::accepted) {
         const std::lock_guard guard(this->mutex);
@@ -102,7 +103,7 @@
     }
     // Hashing a long prompt is slow, so it is done without holding the lock.
     const live_run_pointer run(
-        new live_run(request, settled, this->settings.batch.block_tokens, *this));
+        new live_run(request, chosen_outcome, this->settings.batch.block_tokens, *this));
     lock.lock();
     outcome = this->admit(request);
     if (outcome == admission::accepted && !this->scheduler.submit(run)) {
@@ -162,7 +163,7 @@
 bool engine::obey(engine_order order, const std::string& version, std::uint64_t fence)
 {
     const std::lock_guard guard(this->mutex);
-    const bool current = this->versions.pass_fence(fence);
+    const bool current = this->versions.accept_fence(fence);
     const bool obeyed = current || !this->settings.checks_fencing;
     this->orders.push_back({order, version, fence, obeyed, unix_ms()});
     if (!obeyed) {
@@ -180,7 +181,7 @@
 {
     const auto now = monotonic_now();
     if (this->weights && !this->versions.serves(version, now)) {
-        this->weights->want(version);
+        this->weights->start_read(version);
     } else {
         this->versions.load(version, now + this->settings.weight_loading);
     }
@@ -190,11 +191,11 @@
 {
     this->versions.unload(version);
     if (this->weights) {
-        this->weights->forget(version);
+        this->weights->cancel_read(version);
     }
 }
 
-void engine::weights_read(const std::string& version)
+void engine::on_weights_read(const std::string& version)
 {
     const std::lock_guard guard(this->mutex);
     this->versions.load(version, monotonic_now() + this->settings.weight_loading);
@@ -202,25 +203,25 @@
 
 void engine::behave(const engine_behaviours& wanted)
 {
-    std::vector<live_run_pointer> waited_for;
+    std::vector<live_run_pointer> runs_to_wake;
     {
         const std::lock_guard guard(this->mutex);
         this->behaviours = wanted;
         this->scheduler.set_slow_factor(wanted.slow_factor);
         for (const auto& [name, run] : this->runs) {
-            waited_for.push_back(run);
+            runs_to_wake.push_back(run);
         }
     }
     this->work_changed.notify_one();
-    for (const auto& each : waited_for) {
-        each->disturb();
+    for (const auto& each : runs_to_wake) {
+        each->wake_waiters();
     }
 }
 
-void engine::drain(std::chrono::milliseconds bound)
+void engine::drain(std::chrono::milliseconds timeout)
 {
-    constexpr std::chrono::milliseconds look_again{20};
-    const auto end = std::chrono::steady_clock::now() + bound;
+    constexpr std::chrono::milliseconds poll_period{20};
+    const auto end = std::chrono::steady_clock::now() + timeout;
     std::unique_lock lock(this->mutex);
     this->behaviours.draining = true;
     const auto busy = [this] {
@@ -229,7 +230,7 @@
     };
     while (busy() && std::chrono::steady_clock::now() < end) {
         lock.unlock();
-        std::this_thread::sleep_for(look_again);
+        std::this_thread::sleep_for(poll_period);
         lock.lock();
     }
 }
@@ -258,10 +259,10 @@
 {
     this->loads.record(this->scheduler.load(), now);
     this->cache_feed.publish(this->scheduler.take_cache_events(), now);
-    this->forget_old_runs(now);
+    this->remove_expired_runs(now);
 }
 
-void engine::forget_old_runs(decision::instant now)
+void engine::remove_expired_runs(decision::instant now)
 {
     while (!this->ended.empty() &&
            this->ended.front()->ended_at + this->settings.keep_runs <= now) {
--- a/standins/src/engine.hpp
+++ b/standins/src/engine.hpp
@@ -29,7 +29,7 @@
     double cache_event_gaps = 0.05;
     decision::duration weight_loading{5'000'000};
     bool checks_fencing = false;
-    std::string weight_store; // IP:port; empty: weights need no reading, only loading
+    std::string weight_store; // IP:port; empty: weights are not read, only loaded
 };
 
 // Faults that can be injected into the engine.
@@ -96,7 +96,7 @@
     void behave(const engine_behaviours& wanted);
 
     // Refuses new runs from now on, and waits until all have ended or the timeout expires.
-    void drain(std::chrono::milliseconds bound);
+    void drain(std::chrono::milliseconds timeout);
 
     engine_load_report load_report();
     std::vector<cache_event> cache_events_after(std::uint64_t sequence);
@@ -106,15 +106,15 @@
 
 private:
     [[nodiscard]] admission admit(const engine_request& request) const;
-    [[nodiscard]] run_outcome settle(const engine_request& request) const;
+    [[nodiscard]] run_outcome choose_outcome(const engine_request& request) const;
     void load_version(const std::string& version);
     void unload_version(const std::string& version);
-    void weights_read(const std::string& version);
+    void on_weights_read(const std::string& version);
     void run_started(live_run& run) override;
     void run_ended(live_run& run) override;
     void step_batch();
     void publish_reports(decision::instant now);
-    void forget_old_runs(decision::instant now);
+    void remove_expired_runs(decision::instant now);
 
     const engine_settings settings;
     run_log log;
--- a/standins/src/engine_main.cpp
+++ b/standins/src/engine_main.cpp
@@ -6,12 +6,12 @@
 #include <sstream>
 
 DEFINE_string(versions, "", "versions served at the start, with commas between");
-DEFINE_uint32(batch, 16, "runs that are stepped together");
-DEFINE_uint32(queue, 64, "runs that may wait for a place; more are refused with 429");
-DEFINE_uint32(step_us, 10000, "time of a step of the batch");
+DEFINE_uint32(batch, 16, "max runs in a batch");
+DEFINE_uint32(queue, 64, "max runs queued; further ones are refused with 429");
+DEFINE_uint32(step_us, 10000, "base time of a batch step");
 DEFINE_uint32(step_us_per_run, 200, "time that each run in the batch adds to a step");
 DEFINE_double(prefill_tokens_per_s, 20000, "speed of reading prompts; slows down all in the batch");
-DEFINE_uint64(prefill_chunk, 512, "most prompt tokens that one step reads");
+DEFINE_uint64(prefill_chunk, 512, "max prompt tokens processed in one step");
 DEFINE_uint64(kv_tokens, 262144, "tokens of prompts and answers that the batch can hold");
 DEFINE_uint64(cache_tokens, 131072, "tokens of prompt prefixes that are kept after their runs");
 DEFINE_uint64(block_tokens, 16, "tokens of a block of the prefix cache");
--- a/standins/src/engine_reports.cpp
+++ b/standins/src/engine_reports.cpp
@@ -72,7 +72,7 @@
     }
 }
 
-bool version_table::pass_fence(std::uint64_t number)
+bool version_table::accept_fence(std::uint64_t number)
 {
     if (number < this->highest_fence) {
         return false;
--- a/standins/src/engine_reports.hpp
+++ b/standins/src/engine_reports.hpp
@@ -34,7 +34,8 @@
 // Publishes cache events as a real engine would: delayed, with gaps, and only the most recent ones.
 class cache_event_feed {
 public:
-    // `gap_share` (0 to 1) of the events, selected by a hash of the sequence number, are never published.
+    // `gap_share` (0 to 1) of the events, selected by a hash of the sequence number, are never
+    // published.
     cache_event_feed(decision::duration lag, double gap_share);
 
     void publish(const std::vector<cache_event>& events, decision::instant now);
@@ -60,7 +61,7 @@
     explicit version_table(const std::vector<std::string>& served);
 
     // Whether an order with this fencing number is current: false if a higher one was seen before.
-    bool pass_fence(std::uint64_t number);
+    bool accept_fence(std::uint64_t number);
 
     // The version is served from then on.
     void load(const std::string& version, decision::instant ready_at);
--- a/standins/src/engine_service.cpp
+++ b/standins/src/engine_service.cpp
@@ -93,10 +93,10 @@
         .add("crash_on", &engine_behaviours::crash_on,
              "text; the process exits at once (status 3) when a prompt that contains it starts")
         .add("freeze", &engine_behaviours::freeze,
-             "bool; no token goes out and no run goes on; connections stay open")
+             "bool; no token is sent and no run progresses; connections stay open")
         .add("silence_connections", &engine_behaviours::silence_connections,
-             "bool, once; streams open now go silent for good, their runs go on")
-        .add("slow_factor", &engine_behaviours::slow_factor, "each step takes that many times")
+             "bool, once; open streams go silent permanently, their runs continue")
+        .add("slow_factor", &engine_behaviours::slow_factor, "factor on the duration of each step")
         .add("bad", &engine_behaviours::bad, "bool; each token of new runs begins with BAD")
         .add("fail_rate", &engine_behaviours::fail_rate,
              "0..1; that share of new runs, by hash of the run, is answered 500 after running")
@@ -152,12 +152,12 @@
     this->served_engine.behave(wanted);
 }
 
-void engine_service::wait_for_answers(std::chrono::milliseconds bound) const
+void engine_service::wait_for_answers(std::chrono::milliseconds timeout) const
 {
-    constexpr std::chrono::milliseconds look_again{20};
-    const auto end = std::chrono::steady_clock::now() + bound;
+    constexpr std::chrono::milliseconds poll_period{20};
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (this->answers_open > 0 && std::chrono::steady_clock::now() < end) {
-        std::this_thread::sleep_for(look_again);
+        std::this_thread::sleep_for(poll_period);
     }
 }
 
@@ -184,7 +184,7 @@
 void engine_service::resume(web_exchange& exchange)
 {
     const auto run = this->served_engine.find(run_in_path(exchange.path()));
-    const bool known = run != nullptr && run->seen_progress().state != run_state::cancelled;
+    const bool known = run != nullptr && run->progress_snapshot().state != run_state::cancelled;
     if (!known || !ends_with_resume(exchange.path())) {
         answer_unknown_run(exchange);
         return;
@@ -200,7 +200,7 @@
         answer_unknown_run(exchange);
         return;
     }
-    const auto progress = run->seen_progress();
+    const auto progress = run->progress_snapshot();
     const char* state = progress.state == run_state::cancelled ? "cancelled" : "finished";
     exchange.answer(200, {{"state", state}, {"tokens", progress.tokens}});
 }
@@ -209,16 +209,16 @@
 {
     auto progress = run.wait_for_tokens(wanted);
     while (this->frozen) {
-        constexpr std::chrono::milliseconds look_again{20};
-        std::this_thread::sleep_for(look_again);
-        progress = run.seen_progress();
+        constexpr std::chrono::milliseconds poll_period{20};
+        std::this_thread::sleep_for(poll_period);
+        progress = run.progress_snapshot();
     }
     return progress;
 }
 
 run_progress engine_service::wait_for_end(live_run& run)
 {
-    auto progress = run.seen_progress();
+    auto progress = run.progress_snapshot();
     while (!has_ended(progress.state) || this->frozen) {
         progress = this->wait_unfrozen(run, run.request.max_tokens);
     }
--- a/standins/src/engine_service.hpp
+++ b/standins/src/engine_service.hpp
@@ -24,7 +24,7 @@
     void add_routes(web_server& server);
 
     // Waits until no answer is in progress or the timeout expires.
-    void wait_for_answers(std::chrono::milliseconds bound) const;
+    void wait_for_answers(std::chrono::milliseconds timeout) const;
 
 private:
     void complete(web_exchange& exchange);
--- a/standins/src/hold.hpp
+++ b/standins/src/hold.hpp
@@ -8,10 +8,10 @@
 
 namespace pearhaven::standins {
 
-// Leaves calls unanswered while a behaviour requires it. CivetWeb does not notify a handler when its
-// caller disconnects, so held calls would eventually occupy every thread, including those needed
-// for /control/, and the behaviour could never be turned off. A call is therefore abandoned after a
-// timeout, or immediately if too many are held: its connection closes without an answer.
+// Leaves calls unanswered while a behaviour requires it. CivetWeb does not notify a handler when
+// its caller disconnects, so held calls would eventually occupy every thread, including those
+// needed for /control/, and the behaviour could never be turned off. A call is therefore abandoned
+// after a timeout, or immediately if too many are held: its connection closes without an answer.
 class call_holder {
 public:
     // `threads`: thread count of the server. A few of them are kept free.
@@ -23,7 +23,7 @@
     void hold_while(const std::function<bool()>& condition)
     {
         if (this->held.fetch_add(1) < this->limit) {
-            const auto end = std::chrono::steady_clock::now() + longest_hold;
+            const auto end = std::chrono::steady_clock::now() + max_hold;
             while (condition() && std::chrono::steady_clock::now() < end) {
                 std::this_thread::sleep_for(poll_period);
             }
@@ -34,7 +34,7 @@
 private:
     static constexpr unsigned reserved_threads = 32;
     static constexpr std::chrono::milliseconds poll_period{20};
-    static constexpr std::chrono::seconds longest_hold{600};
+    static constexpr std::chrono::seconds max_hold{600};
 
     unsigned limit;
     std::atomic<unsigned> held{0};
--- a/standins/src/host_list.hpp
+++ b/standins/src/host_list.hpp
@@ -42,8 +42,8 @@
     std::deque<change> pending;
 };
 
-// Returns the host with defaults for missing optional members. Throws nlohmann::json::exception when the name
-// or the address is missing or a member has the wrong type.
+// Returns the host with defaults for missing optional members. Throws nlohmann::json::exception
+// when the name or the address is missing or a member has the wrong type.
 nlohmann::json complete_host(const nlohmann::json& given);
 
 } // namespace pearhaven::standins
--- a/standins/src/hosts_main.cpp
+++ b/standins/src/hosts_main.cpp
@@ -124,7 +124,7 @@
 int main(int argc, char** argv)
 {
     standins::begin_program(argc, argv,
-                            "List of endpoint hosts that learns of changes late.\n"
+                            "List of endpoint hosts that publishes changes after a lag.\n"
                             "POST /control/set takes a host or a list of hosts, POST "
                             "/control/remove {\"name\"}.\n" +
                                 hosts_behaviour_table().help());
--- a/standins/src/kv_service.cpp
+++ b/standins/src/kv_service.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t longest_value = 1U << 20U;
+constexpr std::size_t max_value_bytes = 1U << 20U;
 constexpr std::uint64_t longest_wait_ms = 120'000;
 constexpr std::array<const char*, kv_call_kinds> call_names = {"get",   "range", "cas",   "delete",
                                                                "watch", "lease", "renew", "revoke"};
@@ -61,7 +61,7 @@
     table.add("outage", &kv_behaviours::outage, "bool; refuse every call with 503")
         .add("silent", &kv_behaviours::silent,
              "bool; hold every call without an answer; nothing is applied")
-        .add("delay_ms", &kv_behaviours::delay_ms, "wait before a call is looked at")
+        .add("delay_ms", &kv_behaviours::delay_ms, "wait before a call is processed")
         .add("reply_delay_ms", &kv_behaviours::reply_delay_ms,
              "wait between a call's effect (or reading) and its answer")
         .add("lose_reply_next", &kv_behaviours::lose_reply_next,
@@ -164,8 +164,8 @@
     const auto value = body.at("value").get<std::string>();
     const auto expected = body.value("expected", std::uint64_t{0});
     const auto lease = body.value("lease", std::uint64_t{0});
-    if (value.size() > longest_value) {
-        exchange.answer(413, {{"error", "value too long"}, {"limit", longest_value}});
+    if (value.size() > max_value_bytes) {
+        exchange.answer(413, {{"error", "value too long"}, {"limit", max_value_bytes}});
         return;
     }
     std::unique_lock lock(this->mutex);
--- a/standins/src/kv_state.cpp
+++ b/standins/src/kv_state.cpp
@@ -144,13 +144,13 @@
 
 void kv_state::expire(decision::instant now)
 {
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> expired;
     for (const auto& [number, lease] : this->leases) {
         if (lease.end <= now) {
-            over.push_back(number);
+            expired.push_back(number);
         }
     }
-    for (const auto number : over) {
+    for (const auto number : expired) {
         this->end_lease(number);
     }
 }
--- a/standins/src/live_run.cpp
+++ b/standins/src/live_run.cpp
@@ -17,10 +17,11 @@
 
 } // namespace
 
-live_run::live_run(engine_request wanted, run_outcome settled, std::uint64_t block_tokens,
+live_run::live_run(engine_request wanted, run_outcome chosen_outcome, std::uint64_t block_tokens,
                    run_observer& watcher)
-    : scheduled_run(work_of(wanted, block_tokens)), request(std::move(wanted)), outcome(settled),
-      seed(answer_seed(this->request.prompt, this->request.version)), observer(watcher)
+    : scheduled_run(work_of(wanted, block_tokens)), request(std::move(wanted)),
+      outcome(chosen_outcome), seed(answer_seed(this->request.prompt, this->request.version)),
+      observer(watcher)
 {}
 
 void live_run::on_start()
@@ -39,7 +40,7 @@
         this->published = this->progress;
         awaited = awaited || this->published.tokens >= this->wake_at;
         if (awaited) {
-            this->wake_at = nobody_waits;
+            this->wake_at = no_waiter;
         }
     }
     if (awaited) {
@@ -55,26 +56,26 @@
     constexpr std::chrono::seconds longest{1};
     std::unique_lock lock(this->mutex);
     this->changed.wait_for(lock, longest, [&] {
-        const bool there =
-            this->disturbed || this->published.tokens >= wanted || has_ended(this->published.state);
+        const bool there = this->waiters_woken || this->published.tokens >= wanted ||
+                           has_ended(this->published.state);
         this->wake_at = there ? this->wake_at : std::min(this->wake_at, wanted);
         return there;
     });
-    this->disturbed = false;
+    this->waiters_woken = false;
     return this->published;
 }
 
-run_progress live_run::seen_progress() const
+run_progress live_run::progress_snapshot() const
 {
     const std::lock_guard guard(this->mutex);
     return this->published;
 }
 
-void live_run::disturb()
+void live_run::wake_waiters()
 {
     {
         const std::lock_guard guard(this->mutex);
-        this->disturbed = true;
+        this->waiters_woken = true;
     }
     this->changed.notify_all();
 }
--- a/standins/src/live_run.hpp
+++ b/standins/src/live_run.hpp
@@ -48,20 +48,20 @@
 class live_run : public scheduled_run {
 public:
     // The observer must outlive the run's stay in the scheduler.
-    live_run(engine_request wanted, run_outcome settled, std::uint64_t block_tokens,
+    live_run(engine_request wanted, run_outcome chosen_outcome, std::uint64_t block_tokens,
              run_observer& watcher);
 
     void on_start() override;
     void on_progress() override;
 
-    // Waits until there are that many tokens, the run has ended or `wake_waiters` was called, for at
-    // most one second. Returns the progress.
+    // Waits until there are that many tokens, the run has ended or `wake_waiters` was called, for
+    // at most one second. Returns the progress.
     run_progress wait_for_tokens(std::uint64_t wanted);
 
-    [[nodiscard]] run_progress seen_progress() const;
+    [[nodiscard]] run_progress progress_snapshot() const;
 
     // Wakes all waiting threads so that they check the behaviours again.
-    void disturb();
+    void wake_waiters();
 
     [[nodiscard]] std::string token(std::uint64_t index) const;
     [[nodiscard]] std::string text() const;
@@ -74,15 +74,15 @@
     decision::instant ended_at;
 
 private:
-    static constexpr auto nobody_waits = std::numeric_limits<std::uint64_t>::max();
+    static constexpr auto no_waiter = std::numeric_limits<std::uint64_t>::max();
 
     const std::uint64_t seed;
     run_observer& observer;
     mutable std::mutex mutex;
     std::condition_variable changed;
     run_progress published;
-    std::uint64_t wake_at = nobody_waits; // the lowest token count that a thread waits for
-    bool disturbed = false;
+    std::uint64_t wake_at = no_waiter; // the lowest token count that a thread waits for
+    bool waiters_woken = false;
 };
 
 using live_run_pointer = boost::intrusive_ptr<live_run>;
--- a/standins/src/paced_buffer.cpp
+++ b/standins/src/paced_buffer.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // With a rate limit, bytes are sent in evenly spaced pieces of at most this size.
-constexpr std::size_t rated_piece = 1024;
+constexpr std::size_t max_paced_chunk = 1024;
 
 decision::duration time_for(std::size_t bytes, std::uint64_t bytes_per_second)
 {
@@ -21,7 +21,7 @@
 {
     const bool limited = wanted.bytes_per_second > 0;
     while (!bytes.empty()) {
-        const auto length = limited ? std::min(bytes.size(), rated_piece) : bytes.size();
+        const auto length = limited ? std::min(bytes.size(), max_paced_chunk) : bytes.size();
         auto due = std::max(now + wanted.delay, this->last_due);
         if (limited) {
             due += time_for(length, wanted.bytes_per_second);
--- a/standins/src/prefix_cache.hpp
+++ b/standins/src/prefix_cache.hpp
@@ -30,8 +30,8 @@
     friend bool operator==(const cache_event&, const cache_event&) = default;
 };
 
-// LRU cache of prompt prefix blocks with a bounded size. Among the blocks of one prompt, the last is
-// evicted first, because a block is useless without those before it.
+// LRU cache of prompt prefix blocks with a bounded size. Among the blocks of one prompt, the last
+// is evicted first, because a block is useless without those before it.
 class prefix_cache {
 public:
     prefix_cache(std::uint64_t capacity_tokens, std::uint64_t block_tokens);
--- a/standins/src/proxied_connection.cpp
+++ b/standins/src/proxied_connection.cpp
@@ -47,13 +47,13 @@
         return true;
     }
     if ((events & EPOLLERR) != 0) {
-        return this->break_off(side, faults);
+        return this->on_socket_failure(side, faults);
     }
     if (side == proxy_side::server && (events & EPOLLOUT) != 0) {
         this->connected = true;
     }
     if ((events & (EPOLLIN | EPOLLHUP)) != 0 && !this->read_from(side, faults, now)) {
-        return this->break_off(side, faults);
+        return this->on_socket_failure(side, faults);
     }
     return this->flush(faults, now);
 }
@@ -72,7 +72,7 @@
     }
     if (length == 0) {
         flow.ended = true;
-        flow.passed_end = flow.passed_end || swallowed; // the end is discarded as well
+        flow.end_forwarded = flow.end_forwarded || swallowed; // the end is discarded as well
     } else if (!swallowed) {
         flow.buffer.push({bytes.data(), static_cast<std::size_t>(length)}, faults.paced, now);
     }
@@ -85,10 +85,10 @@
         return true;
     }
     if (!this->write_to(proxy_side::client, faults, now)) {
-        return this->break_off(proxy_side::client, faults);
+        return this->on_socket_failure(proxy_side::client, faults);
     }
     if (this->connected && !this->write_to(proxy_side::server, faults, now)) {
-        return this->break_off(proxy_side::server, faults);
+        return this->on_socket_failure(proxy_side::server, faults);
     }
     return !this->is_over();
 }
@@ -117,21 +117,21 @@
             return false;
         }
     }
-    pass_end(sink, flow);
+    forward_end(sink, flow);
     return true;
 }
 
-void proxied_connection::pass_end(socket_end& sink, byte_flow& from)
+void proxied_connection::forward_end(socket_end& sink, byte_flow& from)
 {
-    if (from.ended && !from.passed_end && from.buffer.empty()) {
-        from.passed_end = true;
+    if (from.ended && !from.end_forwarded && from.buffer.empty()) {
+        from.end_forwarded = true;
         ::shutdown(sink.socket.get(), SHUT_WR);
     }
 }
 
 // Propagates the failure to the other side, unless the broken side's direction is swallowed: then
 // the other side keeps an open connection on which nothing more arrives.
-bool proxied_connection::break_off(proxy_side broken, const proxy_faults& faults)
+bool proxied_connection::on_socket_failure(proxy_side broken, const proxy_faults& faults)
 {
     const bool swallowed =
         broken == proxy_side::client ? faults.swallow_to_server : faults.swallow_to_client;
@@ -145,7 +145,7 @@
 
 bool proxied_connection::is_over() const
 {
-    return this->to_server.passed_end && this->to_client.passed_end;
+    return this->to_server.end_forwarded && this->to_client.end_forwarded;
 }
 
 void proxied_connection::reset()
--- a/standins/src/proxied_connection.hpp
+++ b/standins/src/proxied_connection.hpp
@@ -28,7 +28,8 @@
 // State shared by the connections of one event loop.
 struct proxy_loop {
     int epoll_set = -1;
-    std::vector<char> scratch; // read buffer; on the heap, because CivetWeb's thread stacks are small
+    std::vector<char>
+        scratch; // read buffer; on the heap, because CivetWeb's thread stacks are small
 };
 
 struct byte_counts {
@@ -83,18 +84,18 @@
 private:
     struct byte_flow {
         paced_buffer buffer;
-        bool ended = false;        // the source has closed its side
-        bool passed_end = false;   // the end was forwarded to the sink
-        std::uint64_t moved = 0;   // bytes sent
-        std::uint64_t counted = 0; // of them, those since the last `count_from_here`
+        bool ended = false;         // the source has closed its side
+        bool end_forwarded = false; // the end was forwarded to the sink
+        std::uint64_t moved = 0;    // bytes sent
+        std::uint64_t counted = 0;  // of them, those since the last `count_from_here`
     };
 
     socket_end& end_of(proxy_side side);
     byte_flow& flow_from(proxy_side side);
     bool read_from(proxy_side side, const proxy_faults& faults, decision::instant now);
     bool write_to(proxy_side side, const proxy_faults& faults, decision::instant now);
-    static void pass_end(socket_end& sink, byte_flow& from);
-    bool break_off(proxy_side broken, const proxy_faults& faults);
+    static void forward_end(socket_end& sink, byte_flow& from);
+    bool on_socket_failure(proxy_side broken, const proxy_faults& faults);
     [[nodiscard]] bool is_over() const;
     [[nodiscard]] std::uint32_t wanted_events(const socket_end& end, const byte_flow& in,
                                               const byte_flow& out, decision::instant now) const;
--- a/standins/src/proxy_main.cpp
+++ b/standins/src/proxy_main.cpp
@@ -3,7 +3,7 @@
 
 #include <gflags/gflags.h>
 
-DEFINE_string(to, "", "IP:port that connections are passed on to");
+DEFINE_string(to, "", "IP:port that connections are forwarded to");
 DEFINE_string(admin, "127.0.0.1:0", "IP:port for /control/; port 0 takes any free one");
 
 namespace standins = pearhaven::standins;
--- a/standins/src/rating_main.cpp
+++ b/standins/src/rating_main.cpp
@@ -8,7 +8,7 @@
 #include <thread>
 
 DEFINE_uint64(lag_ms, 0, "how long a rating takes");
-DEFINE_double(noise, 0, "share of the requests that are rated the wrong way round, 0..1");
+DEFINE_double(noise, 0, "share of the requests with an inverted rating, 0..1");
 DEFINE_double(gaps, 0, "share of the requests that are refused with 503, 0..1");
 DEFINE_string(quality, "", "share of good answers per version, like reader-small=0.7,reader=0.95");
 
@@ -21,7 +21,7 @@
     standins::behaviour_table<standins::rating_settings> table;
     table.add("outage", &standins::rating_settings::outage, "bool; refuse every call with 503")
         .add("lag_ms", &standins::rating_settings::lag_ms, "how long a rating takes")
-        .add("noise", &standins::rating_settings::noise, "share rated the wrong way round")
+        .add("noise", &standins::rating_settings::noise, "share with an inverted rating")
         .add("gaps", &standins::rating_settings::gaps, "share refused with 503")
         .add("quality", &standins::rating_settings::quality,
              "text; share of good answers per version, like a=0.7,b=0.95");
--- a/standins/src/tcp_proxy.cpp
+++ b/standins/src/tcp_proxy.cpp
@@ -55,12 +55,13 @@
              "bool, once; connections open now go silent for good, new ones work")
         .add("silence", &proxy_behaviours::silence,
              "bool; nothing moves on any connection; it goes on where it was when lifted")
-        .add("delay_ms", &proxy_behaviours::delay_ms, "bytes in both directions come so much later")
+        .add("delay_ms", &proxy_behaviours::delay_ms, "delay of the bytes in both directions")
         .add("truncate_to_client_after", &proxy_behaviours::truncate_to_client_after,
-             "close each connection in good order after so many further bytes to its client")
+             "close each connection in an orderly way after this many further bytes to its client")
         .add("rate_bytes_per_s", &proxy_behaviours::rate_bytes_per_s,
              "limit for each direction of each connection; 0: none")
-        .add("clear", &proxy_behaviours::clear, "bool, once; lift everything, but what is for good")
+        .add("clear", &proxy_behaviours::clear,
+             "bool, once; lift everything except permanent silence")
         .check(&check_one_way);
     return table;
 }
@@ -135,7 +136,7 @@
         }
         this->flush_due(now);
         this->run_actions();
-        this->delete_over();
+        this->delete_closed();
         const std::lock_guard guard(this->mutex);
         if (this->stopping) {
             return;
@@ -143,12 +144,12 @@
     }
 }
 
-void tcp_proxy::delete_over()
+void tcp_proxy::delete_closed()
 {
-    for (auto* each : this->over) {
+    for (auto* each : this->closed_connections) {
         delete each;
     }
-    this->over.clear();
+    this->closed_connections.clear();
 }
 
 int tcp_proxy::wait_ms(decision::instant now) const
@@ -188,8 +189,8 @@
         return; // closed by an earlier event of this batch
     }
     auto& connection = *end->connection;
-    const bool going_on = connection.handle(end->side, events, this->faults, now);
-    this->settle(connection, going_on, now);
+    const bool is_active = connection.handle(end->side, events, this->faults, now);
+    this->update_or_remove(connection, is_active, now);
 }
 
 void tcp_proxy::accept_all(decision::instant now)
@@ -207,16 +208,17 @@
             auto server = connecting_socket(this->to_address);
             auto* made = new proxied_connection(this->shared, std::move(client), std::move(server));
             this->connections.push_back(*made);
-            this->settle(*made, true, now);
+            this->update_or_remove(*made, true, now);
         } catch (const std::system_error&) {
             client.reset(); // refused immediately, as the server would
         }
     }
 }
 
-void tcp_proxy::settle(proxied_connection& connection, bool going_on, decision::instant now)
+void tcp_proxy::update_or_remove(proxied_connection& connection, bool is_active,
+                                 decision::instant now)
 {
-    if (!going_on) {
+    if (!is_active) {
         this->remove(connection);
         return;
     }
@@ -243,7 +245,7 @@
     while (!this->timers.empty() && this->timers.begin()->first <= now) {
         auto& connection = *this->timers.begin()->second;
         this->set_timer(connection, std::nullopt);
-        this->settle(connection, connection.flush(this->faults, now), now);
+        this->update_or_remove(connection, connection.flush(this->faults, now), now);
     }
 }
 
@@ -254,7 +256,7 @@
     this->totals.bytes_to_client += connection.moved().to_client;
     this->connections.erase(this->connections.iterator_to(connection));
     connection.close();
-    this->over.push_back(&connection);
+    this->closed_connections.push_back(&connection);
 }
 
 void tcp_proxy::change_behaviours(const proxy_behaviours& wanted)
@@ -278,7 +280,7 @@
         if (recount) {
             connection.count_from_here();
         }
-        this->settle(connection, connection.flush(this->faults, now), now);
+        this->update_or_remove(connection, connection.flush(this->faults, now), now);
     }
     this->accept_all(now); // connections that arrived during the silence
 }
--- a/standins/src/tcp_proxy.hpp
+++ b/standins/src/tcp_proxy.hpp
@@ -67,11 +67,11 @@
 
     void loop();
     void run_actions();
-    void delete_over();
+    void delete_closed();
     void handle_event(void* tag, std::uint32_t events, decision::instant now);
     void accept_all(decision::instant now);
     void flush_due(decision::instant now);
-    void settle(proxied_connection& connection, bool going_on, decision::instant now);
+    void update_or_remove(proxied_connection& connection, bool is_active, decision::instant now);
     void set_timer(proxied_connection& connection, std::optional<decision::instant> when);
     void remove(proxied_connection& connection);
     void change_behaviours(const proxy_behaviours& wanted);
@@ -92,7 +92,7 @@
     proxy_behaviours behaviours;
     proxy_faults faults;
     connection_list connections;
-    std::vector<proxied_connection*> over; // removed, but the current batch of events may refer to them
+    std::vector<proxied_connection*> closed_connections; // pending events may refer to them
     timer_set timers;
     proxy_counts totals;
 
--- a/standins/src/web_client.cpp
+++ b/standins/src/web_client.cpp
@@ -62,7 +62,7 @@
     while ((length = mg_read(connection.get(), part.data(), part.size())) > 0) {
         answer.body.append(part.data(), static_cast<std::size_t>(length));
     }
-    answer.whole = length == 0;
+    answer.complete = length == 0;
     return answer;
 }
 
--- a/standins/src/web_client.hpp
+++ b/standins/src/web_client.hpp
@@ -17,8 +17,8 @@
 struct web_answer {
     int status = 0; // 0: no answer
     std::string body;
-    bool not_run = false; // the header field X-Not-Run was present
-    bool whole = false;   // the body was received completely
+    bool not_run = false;  // the header field X-Not-Run was present
+    bool complete = false; // the body was received completely
 
     friend bool operator==(const web_answer&, const web_answer&) = default;
 };
--- a/standins/src/web_exchange.hpp
+++ b/standins/src/web_exchange.hpp
@@ -49,8 +49,8 @@
     // Sends one chunk in a single system call. False if the caller has disconnected.
     bool write(std::string_view text);
 
-    // Completes the stream, after a last chunk if there is one. An unfinished stream is cut off when
-    // the handler returns.
+    // Completes the stream, after a last chunk if there is one. An unfinished stream is cut off
+    // when the handler returns.
     bool finish(std::string_view last = {});
 
     [[nodiscard]] bool answered() const { return this->is_answered; }
--- a/standins/src/weight_loader.cpp
+++ b/standins/src/weight_loader.cpp
@@ -34,19 +34,19 @@
     this->thread.join();
 }
 
-void weight_loader::want(const std::string& version)
+void weight_loader::start_read(const std::string& version)
 {
     {
         const std::lock_guard guard(this->mutex);
-        this->wanted.insert(version);
+        this->pending.insert(version);
     }
     this->changed.notify_all();
 }
 
-void weight_loader::forget(const std::string& version)
+void weight_loader::cancel_read(const std::string& version)
 {
     const std::lock_guard guard(this->mutex);
-    this->wanted.erase(version);
+    this->pending.erase(version);
 }
 
 std::uint64_t weight_loader::failures() const
@@ -59,18 +59,18 @@
 {
     std::unique_lock lock(this->mutex);
     while (!this->stopping) {
-        if (this->wanted.empty()) {
+        if (this->pending.empty()) {
             this->changed.wait(lock);
             continue;
         }
-        const auto version = *this->wanted.begin();
+        const auto version = *this->pending.begin();
         lock.unlock();
         const bool read = read_weights(this->store, version);
         lock.lock();
         if (!read) {
             ++this->failed;
             this->changed.wait_for(lock, retry_pause);
-        } else if (this->wanted.erase(version) > 0) {
+        } else if (this->pending.erase(version) > 0) {
             lock.unlock();
             this->on_loaded(version);
             lock.lock();
--- a/standins/src/weight_loader.hpp
+++ b/standins/src/weight_loader.hpp
@@ -11,8 +11,8 @@
 
 namespace pearhaven::standins {
 
-// Reads the weights of versions from the weight store, one at a time, on its own thread. A read that
-// is refused or not answered is retried every second.
+// Reads the weights of versions from the weight store, one at a time, on its own thread. A read
+// that is refused or not answered is retried every second.
 class weight_loader {
 public:
     using loaded_hook = std::function<void(const std::string& version)>;
@@ -24,10 +24,10 @@
     weight_loader(const weight_loader&) = delete;
     weight_loader& operator=(const weight_loader&) = delete;
 
-    void want(const std::string& version);
+    void start_read(const std::string& version);
 
     // Cancels a read that has not completed.
-    void forget(const std::string& version);
+    void cancel_read(const std::string& version);
 
     // Number of reads that the store refused or did not answer.
     [[nodiscard]] std::uint64_t failures() const;
@@ -39,7 +39,7 @@
     const loaded_hook on_loaded;
     mutable std::mutex mutex; // guards everything below
     std::condition_variable changed;
-    std::set<std::string> wanted;
+    std::set<std::string> pending;
     std::uint64_t failed = 0;
     bool stopping = false;
     std::thread thread; // last: uses the members above
--- a/standins/src/weights_main.cpp
+++ b/standins/src/weights_main.cpp
@@ -8,8 +8,8 @@
 #include <mutex>
 #include <thread>
 
-DEFINE_double(loads_per_s, 1, "rate of the loads that are let in; more are answered with 429");
-DEFINE_double(burst, 2, "loads that may be let in at once after a quiet while");
+DEFINE_double(loads_per_s, 1, "max rate of loads; further ones are answered with 429");
+DEFINE_double(burst, 2, "loads accepted at once after an idle period");
 DEFINE_uint64(read_ms, 1000, "how long the bytes of one load take");
 
 namespace standins = pearhaven::standins;
--- a/standins/test/batch_scheduler_test.cpp
+++ b/standins/test/batch_scheduler_test.cpp
@@ -81,7 +81,7 @@
     CHECK_TRUE(waiting->progress.state == run_state::running);
 }
 
-TEST(batch_scheduler, takes_the_most_urgent_run_first_and_else_the_eldest)
+TEST(batch_scheduler, takes_the_most_urgent_run_first_then_the_oldest)
 {
     scheduler.submit(new_run(1));
     scheduler.submit(new_run(1));
@@ -118,8 +118,8 @@
     CHECK_TRUE(run->progress.state == run_state::finished);
 }
 
-// A long prompt in the batch slows down the other runs' tokens. Because of this effect, a router has
-// to separate long prefills from short requests.
+// A long prompt in the batch slows down the other runs' tokens. Because of this effect, a router
+// has to separate long prefills from short requests.
 TEST(batch_scheduler, slows_the_batch_down_while_a_prompt_is_read)
 {
     scheduler.submit(new_run(10));
@@ -145,7 +145,7 @@
     LONGS_EQUAL(32, second->progress.cached_tokens);
 }
 
-TEST(batch_scheduler, holds_no_more_than_its_memory)
+TEST(batch_scheduler, never_exceeds_its_memory)
 {
     auto settings = small_engine();
     settings.kv_tokens = 100;
@@ -181,7 +181,7 @@
     scheduler.submit(new_run(100));
     scheduler.advance(at_ms(0));
     CHECK_TRUE(*scheduler.advance(at_ms(15)) == at_ms(22));
-    CHECK_TRUE(*scheduler.advance(at_ms(1000)) == at_ms(1011)); // no catch-up for a caller that was very late
+    CHECK_TRUE(*scheduler.advance(at_ms(1000)) == at_ms(1011)); // too late to catch up
 }
 
 TEST(batch_scheduler, takes_longer_steps_by_the_slow_factor)
--- a/standins/test/engine_reports_test.cpp
+++ b/standins/test/engine_reports_test.cpp
@@ -28,7 +28,7 @@
     LONGS_EQUAL(0, feed.after(1, at_ms(1000)).size());
 }
 
-TEST(engine_reports, leave_out_the_share_of_cache_events_that_was_asked_for)
+TEST(engine_reports, leave_out_the_configured_share_of_cache_events)
 {
     cache_event_feed feed(milliseconds(0), 0.2);
     std::vector<cache_event> events;
@@ -57,11 +57,11 @@
     CHECK_TRUE(versions.serves("a", at_ms(0)));
 }
 
-TEST(engine_reports, pass_no_fencing_number_below_the_highest_seen)
+TEST(engine_reports, reject_a_fencing_number_below_the_highest_seen)
 {
     version_table versions({});
-    CHECK_TRUE(versions.pass_fence(5));
-    CHECK_FALSE(versions.pass_fence(4));
-    CHECK_TRUE(versions.pass_fence(5));
-    CHECK_TRUE(versions.pass_fence(6));
+    CHECK_TRUE(versions.accept_fence(5));
+    CHECK_FALSE(versions.accept_fence(4));
+    CHECK_TRUE(versions.accept_fence(5));
+    CHECK_TRUE(versions.accept_fence(6));
 }
--- a/standins/test/engine_service_test.cpp
+++ b/standins/test/engine_service_test.cpp
@@ -50,8 +50,8 @@
     return text;
 }
 
-// Makes one call and reads the raw bytes of the answer until the connection ends, because CivetWeb's
-// client returns nothing when a stream is cut off. The chunk headers stay in the text.
+// Makes one call and reads the raw bytes of the answer until the connection ends, because
+// CivetWeb's client returns nothing when a stream is cut off. The chunk headers stay in the text.
 std::string raw_call(const std::string& address, const std::string& method, const std::string& path,
                      const std::string& head, const std::string& body)
 {
@@ -162,12 +162,12 @@
     CHECK_TRUE(ends_whole(stream("r2", 20)));
 }
 
-TEST(engine_service, does_not_know_a_run_that_it_never_got)
+TEST(engine_service, answers_not_found_for_an_unknown_run)
 {
     LONGS_EQUAL(404, call(address, {"GET", "/v1/runs/r1/resume?offset=0", "", {}}).status);
 }
 
-TEST(engine_service, says_not_run_when_it_refuses)
+TEST(engine_service, sends_not_run_when_it_refuses)
 {
     const auto answer = chat("r1", 1, "w");
     LONGS_EQUAL(404, answer.status);
@@ -175,7 +175,7 @@
     LONGS_EQUAL(0, served.show_runs(0).size());
 }
 
-TEST(engine_service, does_not_say_not_run_when_a_run_fails)
+TEST(engine_service, omits_not_run_when_a_run_fails)
 {
     behave({{"fail_rate", 1.0}});
     const auto answer = chat("r1", 1);
--- a/standins/test/engine_test.cpp
+++ b/standins/test/engine_test.cpp
@@ -31,7 +31,7 @@
 
 run_progress wait_for_end(live_run& run)
 {
-    auto progress = run.seen_progress();
+    auto progress = run.progress_snapshot();
     while (!has_ended(progress.state)) {
         progress = run.wait_for_tokens(run.request.max_tokens);
     }
@@ -92,7 +92,7 @@
     LONGS_EQUAL(1, served.show_runs(0).size());
 }
 
-TEST(engine, refuses_before_running_what_it_was_told_to_refuse)
+TEST(engine, refuses_requests_without_running_them)
 {
     auto other = request_for("r1", 1);
     other.version = "w";
@@ -122,7 +122,7 @@
     CHECK_EQUAL(std::string("lost"), state_of_run(0));
 }
 
-TEST(engine, is_bad_only_for_the_version_that_was_named)
+TEST(engine, gives_bad_answers_only_for_the_named_version)
 {
     behave([](engine_behaviours& wanted) {
         wanted.bad = true;
@@ -137,13 +137,13 @@
     CHECK_EQUAL(0U, bad->text().find("BAD"));
 }
 
-TEST(engine, stands_still_while_it_is_frozen_and_goes_on_after)
+TEST(engine, makes_no_progress_while_frozen_and_resumes_after)
 {
     const auto submitted = served.submit(request_for("r1", endless));
     submitted.run->wait_for_tokens(1);
     behave([](engine_behaviours& wanted) { wanted.freeze = true; });
     submitted.run->wait_for_tokens(endless); // woken by the behaviour change
-    const auto frozen_at = submitted.run->seen_progress().tokens;
+    const auto frozen_at = submitted.run->progress_snapshot().tokens;
     LONGS_EQUAL(frozen_at, submitted.run->wait_for_tokens(frozen_at + 1).tokens);
     behave([](engine_behaviours&) {});
     while (submitted.run->wait_for_tokens(frozen_at + 1).tokens == frozen_at) {
--- a/standins/test/hold_test.cpp
+++ b/standins/test/hold_test.cpp
@@ -25,12 +25,12 @@
     while (!looked) {
         std::this_thread::yield();
     }
-    bool second_looked = false;
+    bool second_checked = false;
     holder.hold_while([&] {
-        second_looked = true;
+        second_checked = true;
         return false;
     });
     silent = false;
     first.join();
-    CHECK_FALSE(second_looked); // abandoned immediately
+    CHECK_FALSE(second_checked); // abandoned immediately
 }
--- a/standins/test/kv_state_test.cpp
+++ b/standins/test/kv_state_test.cpp
@@ -110,7 +110,7 @@
     CHECK_EQUAL(std::string("2"), state.get("k")->value);
 }
 
-TEST(kv_state, names_the_next_lease_to_end)
+TEST(kv_state, returns_the_next_lease_expiry)
 {
     CHECK_FALSE(state.next_expiry().has_value());
     state.grant_lease(milliseconds(300), at_ms(0));
--- a/standins/test/paced_buffer_test.cpp
+++ b/standins/test/paced_buffer_test.cpp
@@ -22,7 +22,7 @@
     }
 };
 
-TEST(paced_buffer, lets_bytes_out_at_once_without_pacing)
+TEST(paced_buffer, releases_bytes_immediately_without_pacing)
 {
     buffer.push("one", {}, at_ms(0));
     buffer.push("two", {}, at_ms(0));
@@ -30,7 +30,7 @@
     CHECK_TRUE(buffer.empty());
 }
 
-TEST(paced_buffer, holds_bytes_back_for_the_delay)
+TEST(paced_buffer, delays_bytes)
 {
     buffer.push("late", {milliseconds(100), 0}, at_ms(50));
     CHECK_TRUE(*buffer.next_due() == at_ms(150));
@@ -54,7 +54,7 @@
     LONGS_EQUAL(3072, take(at_ms(1000)).size());
 }
 
-TEST(paced_buffer, goes_on_in_the_middle_of_a_chunk)
+TEST(paced_buffer, resumes_in_the_middle_of_a_chunk)
 {
     buffer.push("chunk", {}, at_ms(0));
     buffer.pop(2);
--- a/standins/test/prefix_cache_test.cpp
+++ b/standins/test/prefix_cache_test.cpp
@@ -46,7 +46,7 @@
     LONGS_EQUAL(0, cache.use(blocks_of(other)));
 }
 
-TEST(prefix_cache, drops_what_was_used_least_lately)
+TEST(prefix_cache, evicts_the_least_recently_used_block)
 {
     prefix_cache cache(4 * block_tokens, block_tokens);
     cache.add(blocks_of(two_blocks));
@@ -57,7 +57,7 @@
     LONGS_EQUAL(0, cache.use(blocks_of(other)));
 }
 
-TEST(prefix_cache, drops_the_last_block_of_a_prompt_first)
+TEST(prefix_cache, evicts_the_last_block_of_a_prompt_first)
 {
     prefix_cache cache(2 * block_tokens, block_tokens);
     cache.add(blocks_of(two_blocks));
@@ -72,7 +72,7 @@
     LONGS_EQUAL(block_tokens, cache.use(blocks_of(two_blocks)));
 }
 
-TEST(prefix_cache, tells_in_its_events_what_it_holds)
+TEST(prefix_cache, reports_its_contents_in_events)
 {
     rc::check("replayed events give the cached blocks", [] {
         constexpr std::uint64_t capacity = 8;
--- a/standins/test/rater_test.cpp
+++ b/standins/test/rater_test.cpp
@@ -54,7 +54,7 @@
     DOUBLES_EQUAL(0.25, static_cast<double>(missing) / requests, 0.04);
 }
 
-TEST(rater, turns_the_share_of_noise_round)
+TEST(rater, inverts_the_share_of_noise)
 {
     rating_settings settings;
     settings.noise = 0.1;
--- a/standins/test/tcp_proxy_test.cpp
+++ b/standins/test/tcp_proxy_test.cpp
@@ -81,7 +81,7 @@
     CHECK_TRUE(has_ended_by_now(server, generous_ms));
 }
 
-TEST(tcp_proxy, cuts_connections_and_refuses_new_ones_until_told_otherwise)
+TEST(tcp_proxy, cuts_connections_and_refuses_new_ones_until_lifted)
 {
     open();
     apply([](proxy_behaviours& wanted) { wanted.cut = true; });
@@ -118,7 +118,7 @@
     CHECK_TRUE(passes("hello"));
 }
 
-TEST(tcp_proxy, goes_on_where_it_was_when_silence_is_lifted)
+TEST(tcp_proxy, resumes_when_silence_is_lifted)
 {
     open();
     apply([](proxy_behaviours& wanted) { wanted.silence = true; });
--- a/standins/test/weight_loader_test.cpp
+++ b/standins/test/weight_loader_test.cpp
@@ -37,20 +37,20 @@
         std::promise<std::string> loaded;
         weight_loader loader(this->address,
                              [&](const std::string& read) { loaded.set_value(read); });
-        loader.want(version);
+        loader.start_read(version);
         auto read = loaded.get_future().get();
         LONGS_EQUAL(expected_failures, loader.failures());
         return read;
     }
 };
 
-TEST(weight_loader, tells_when_the_weights_were_read)
+TEST(weight_loader, notifies_when_the_weights_were_read)
 {
     CHECK_EQUAL(std::string("v"), load("v", 0));
     LONGS_EQUAL(1, calls);
 }
 
-TEST(weight_loader, tries_again_when_the_store_refuses)
+TEST(weight_loader, retries_when_the_store_refuses)
 {
     refusals = 1;
     CHECK_EQUAL(std::string("v"), load("v", 1));
