--- a/standins/src/engine_main.cpp
+++ b/standins/src/engine_main.cpp
@@ -20,11 +20,12 @@
 DEFINE_uint32(load_lag_ms, 500, "age of the load reports");
 DEFINE_uint32(cache_event_lag_ms, 1000, "how late cache events are published");
 DEFINE_double(cache_event_gaps, 0.05, "share of the cache events that are never published, 0..1");
-DEFINE_uint32(weight_loading_ms, 5000,
-              "time from an order to load a version, or its weights' reading, until it is served");
-DEFINE_string(weights, "", "IP:port of the weight store; empty: weights need no reading");
+DEFINE_uint32(
+    weight_loading_ms, 5000,
+    "time from an order to load a version, or from the end of reading its weights, until served");
+DEFINE_string(weights, "", "IP:port of the weight store; empty: weights are not read");
 DEFINE_bool(checks_fencing, false, "refuse orders that carry an old fencing number");
-DEFINE_uint32(stop_grace_ms, 0, "on SIGTERM, how long answers under way may take to finish");
+DEFINE_uint32(stop_grace_ms, 0, "on SIGTERM, how long answers in progress may take to finish");
 
 namespace standins = pearhaven::standins;
 
--- a/standins/src/engine_service.cpp
+++ b/standins/src/engine_service.cpp
@@ -99,14 +99,14 @@
         .add("slow_factor", &engine_behaviours::slow_factor, "factor on the duration of each step")
         .add("bad", &engine_behaviours::bad, "bool; each token of new runs begins with BAD")
         .add("fail_rate", &engine_behaviours::fail_rate,
-             "0..1; that share of new runs, by hash of the run, is answered 500 after running")
+             "0..1; this share of new runs, by hash of the run, is answered 500 after running")
         .add("refuse", &engine_behaviours::refuse, "bool; new runs get 503 with X-Not-Run")
         .add("draining", &engine_behaviours::draining,
              "bool; new runs get 503 draining, shown in the load report")
         .add("truncate_after", &engine_behaviours::truncate_after,
              "once; the next stream that has sent N tokens is closed without its end; 0: off")
         .add("version", &engine_behaviours::version,
-             "text; bad and fail_rate hold for this version only; empty: for all");
+             "text; bad and fail_rate apply to this version only; empty: for all");
     return table;
 }
 
--- a/standins/src/kv_service.cpp
+++ b/standins/src/kv_service.cpp
@@ -63,7 +63,7 @@
              "bool; hold every call without an answer; nothing is applied")
         .add("delay_ms", &kv_behaviours::delay_ms, "wait before a call is processed")
         .add("reply_delay_ms", &kv_behaviours::reply_delay_ms,
-             "wait between a call's effect (or reading) and its answer")
+             "wait between a call's effect (or read) and its answer")
         .add("lose_reply_next", &kv_behaviours::lose_reply_next,
              "apply the next N cas and delete calls, but close their connections unanswered")
         .add("lose_reply_prefix", &kv_behaviours::lose_reply_prefix,
--- a/standins/src/tcp_proxy.cpp
+++ b/standins/src/tcp_proxy.cpp
@@ -52,9 +52,9 @@
         .add("one_way", &proxy_behaviours::one_way,
              "\"to_server\" or \"to_client\"; bytes in that direction are swallowed; empty: off")
         .add("silence_open", &proxy_behaviours::silence_open,
-             "bool, once; connections open now go silent for good, new ones work")
+             "bool, once; open connections go silent permanently, new ones work")
         .add("silence", &proxy_behaviours::silence,
-             "bool; nothing moves on any connection; it goes on where it was when lifted")
+             "bool; nothing moves on any connection; transfers resume when lifted")
         .add("delay_ms", &proxy_behaviours::delay_ms, "delay of the bytes in both directions")
         .add("truncate_to_client_after", &proxy_behaviours::truncate_to_client_after,
              "close each connection in an orderly way after this many further bytes to its client")
