--- a/standins/src/batch_scheduler.cpp
+++ b/standins/src/batch_scheduler.cpp
@@ -39,8 +39,8 @@
     run->arrival = ++this->last_arrival;
     run->progress.state = run_state::queued;
     this->queue[key_of(*run)] = run;
-    this->totals.most_queued =
-        std::max<std::uint64_t>(this->totals.most_queued, this->queue.size());
+    this->totals.peak_queued =
+        std::max<std::uint64_t>(this->totals.peak_queued, this->queue.size());
     return true;
 }
 
@@ -96,8 +96,8 @@
         this->queue.erase(this->queue.begin());
         this->start(run);
     }
-    this->totals.most_running =
-        std::max<std::uint64_t>(this->totals.most_running, this->batch.size());
+    this->totals.peak_running =
+        std::max<std::uint64_t>(this->totals.peak_running, this->batch.size());
 }
 
 // A run larger than the KV memory runs alone.
--- a/standins/src/batch_scheduler.hpp
+++ b/standins/src/batch_scheduler.hpp
@@ -92,8 +92,8 @@
     std::uint64_t cached_tokens = 0;
     std::uint64_t finished = 0;
     std::uint64_t cancelled = 0;
-    std::uint64_t most_running = 0;
-    std::uint64_t most_queued = 0;
+    std::uint64_t peak_running = 0;
+    std::uint64_t peak_queued = 0;
 
     friend bool operator==(const batch_counts&, const batch_counts&) = default;
 };
--- a/standins/src/engine_reports.cpp
+++ b/standins/src/engine_reports.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr decision::duration finest_sample{5'000};
-constexpr std::size_t most_events = 10'000;
+constexpr std::size_t max_events = 10'000;
 
 } // namespace
 
@@ -48,7 +48,7 @@
             this->events.push_back({now + this->lag, each});
         }
     }
-    while (this->events.size() > most_events) {
+    while (this->events.size() > max_events) {
         this->events.pop_front();
     }
 }
--- a/standins/src/engine_requests.cpp
+++ b/standins/src/engine_requests.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint64_t default_priority = 5;
-constexpr std::uint64_t most_tokens = 1'000'000;
+constexpr std::uint64_t max_answer_tokens = 1'000'000;
 
 std::string new_run_name()
 {
@@ -56,7 +56,7 @@
     const auto priority = to_number(exchange.field("X-Priority")).value_or(default_priority);
     request.priority = static_cast<std::uint32_t>(priority);
     const auto tokens = body.value("max_tokens", default_max_tokens);
-    request.max_tokens = std::clamp<std::uint64_t>(tokens, 1, most_tokens);
+    request.max_tokens = std::clamp<std::uint64_t>(tokens, 1, max_answer_tokens);
     request.stream = body.value("stream", false);
     return request;
 }
--- a/standins/src/host_list.cpp
+++ b/standins/src/host_list.cpp
@@ -25,13 +25,13 @@
     apply(this->pending.back(), this->actual_hosts);
 }
 
-nlohmann::json host_list::shown(decision::instant now)
+nlohmann::json host_list::published(decision::instant now)
 {
     while (!this->pending.empty() && this->pending.front().seen_at <= now) {
-        apply(this->pending.front(), this->shown_hosts);
+        apply(this->pending.front(), this->published_hosts);
         this->pending.pop_front();
     }
-    return to_json(this->shown_hosts);
+    return to_json(this->published_hosts);
 }
 
 nlohmann::json host_list::actual() const
--- a/standins/src/host_list.hpp
+++ b/standins/src/host_list.hpp
@@ -20,7 +20,7 @@
     void remove(const std::string& name, decision::instant seen_at);
 
     // The published hosts at the given time.
-    nlohmann::json shown(decision::instant now);
+    nlohmann::json published(decision::instant now);
 
     // The actual hosts, without the lag.
     [[nodiscard]] nlohmann::json actual() const;
@@ -38,7 +38,7 @@
     static nlohmann::json to_json(const host_map& hosts);
 
     host_map actual_hosts;
-    host_map shown_hosts;
+    host_map published_hosts;
     std::deque<change> pending;
 };
 
--- a/standins/src/hosts_main.cpp
+++ b/standins/src/hosts_main.cpp
@@ -83,7 +83,7 @@
             return;
         }
         const std::lock_guard guard(this->mutex);
-        exchange.answer(200, this->hosts.shown(standins::monotonic_now()));
+        exchange.answer(200, this->hosts.published(standins::monotonic_now()));
     }
 
     void set_all(const nlohmann::json& given, pearhaven::decision::instant seen_at)
--- a/standins/src/kv_service.cpp
+++ b/standins/src/kv_service.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t max_value_bytes = 1U << 20U;
-constexpr std::uint64_t longest_wait_ms = 120'000;
+constexpr std::uint64_t max_wait_ms = 120'000;
 constexpr std::array<const char*, kv_call_kinds> call_names = {"get",   "range", "cas",   "delete",
                                                                "watch", "lease", "renew", "revoke"};
 
@@ -113,7 +113,7 @@
         const std::lock_guard guard(this->mutex);
         ++this->calls.at(static_cast<std::size_t>(kind));
         ++this->running;
-        this->most_running = std::max(this->most_running, this->running);
+        this->peak_running = std::max(this->peak_running, this->running);
     }
     const auto behaviours = this->control.get();
     if (behaviours.silent) {
@@ -231,12 +231,12 @@
 {
     const auto prefix = exchange.query("prefix").value_or("");
     const auto after = exchange.query_number("after", 0);
-    const auto wait_ms = std::min(exchange.query_number("wait_ms", 0), longest_wait_ms);
+    const auto wait_ms = std::min(exchange.query_number("wait_ms", 0), max_wait_ms);
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(wait_ms);
 
     std::unique_lock lock(this->mutex);
     ++this->waiting_watches;
-    this->most_waiting_watches = std::max(this->most_waiting_watches, this->waiting_watches);
+    this->peak_waiting_watches = std::max(this->peak_waiting_watches, this->waiting_watches);
     std::vector<kv_record> found;
     this->changed.wait_until(lock, end, [&] {
         found = this->state.changes_after(prefix, after);
@@ -296,8 +296,8 @@
                           {"refused", this->refused},
                           {"lost_replies", this->lost_replies},
                           {"waiting_watches", this->waiting_watches},
-                          {"most_waiting_watches", this->most_waiting_watches},
-                          {"highest_concurrency", this->most_running},
+                          {"most_waiting_watches", this->peak_waiting_watches},
+                          {"highest_concurrency", this->peak_running},
                           {"leases", this->state.lease_count()},
                           {"revision", this->state.revision()}});
 }
--- a/standins/src/kv_service.hpp
+++ b/standins/src/kv_service.hpp
@@ -72,9 +72,9 @@
     std::uint64_t refused = 0;
     std::uint64_t lost_replies = 0;
     std::uint64_t waiting_watches = 0;
-    std::uint64_t most_waiting_watches = 0;
+    std::uint64_t peak_waiting_watches = 0;
     std::uint64_t running = 0;
-    std::uint64_t most_running = 0;
+    std::uint64_t peak_running = 0;
     bool stopping = false;
     std::thread expirer; // last: uses the members above
 };
--- a/standins/src/live_run.cpp
+++ b/standins/src/live_run.cpp
@@ -53,9 +53,9 @@
 
 run_progress live_run::wait_for_tokens(std::uint64_t wanted)
 {
-    constexpr std::chrono::seconds longest{1};
+    constexpr std::chrono::seconds max_wait{1};
     std::unique_lock lock(this->mutex);
-    this->changed.wait_for(lock, longest, [&] {
+    this->changed.wait_for(lock, max_wait, [&] {
         const bool there = this->waiters_woken || this->published.tokens >= wanted ||
                            has_ended(this->published.state);
         this->wake_at = there ? this->wake_at : std::min(this->wake_at, wanted);
--- a/standins/src/proxied_connection.cpp
+++ b/standins/src/proxied_connection.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t read_size = 65536;
 
 // Reading stops while more than this is buffered, so that the sender sees backpressure.
-constexpr std::size_t most_held = 4 * read_size;
+constexpr std::size_t max_buffered = 4 * read_size;
 
 bool would_block()
 {
@@ -171,7 +171,7 @@
 {
     const bool connecting = end.side == proxy_side::server && !this->connected;
     std::uint32_t events = 0;
-    if (!in.ended && in.buffer.size() < most_held) {
+    if (!in.ended && in.buffer.size() < max_buffered) {
         events |= EPOLLIN;
     }
     if (connecting || !out.buffer.ready(now).empty()) {
--- a/standins/test/batch_scheduler_test.cpp
+++ b/standins/test/batch_scheduler_test.cpp
@@ -197,13 +197,13 @@
         batch_scheduler engine(small_engine());
         auto now = at_ms(0);
         std::vector<run_pointer> taken;
-        std::uint64_t owed = 0;
+        std::uint64_t expected_tokens = 0;
         for (const auto tokens : *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, 9))) {
             const auto run = new_run(static_cast<std::uint64_t>(tokens), *rc::gen::inRange(0U, 9U),
                                      *rc::gen::inRange(0U, 300U));
             if (engine.submit(run)) {
                 taken.push_back(run);
-                owed += run->work.max_tokens;
+                expected_tokens += run->work.max_tokens;
             }
             now = engine.advance(now).value_or(now);
             RC_ASSERT(engine.load().running <= 2U);
@@ -215,7 +215,7 @@
             RC_ASSERT(run->progress.state == run_state::finished);
             RC_ASSERT(run->progress.tokens == run->work.max_tokens);
         }
-        RC_ASSERT(engine.counts().tokens == owed);
+        RC_ASSERT(engine.counts().tokens == expected_tokens);
         RC_ASSERT(engine.load().kv_used == 0.0);
     });
 }
--- a/standins/test/host_list_test.cpp
+++ b/standins/test/host_list_test.cpp
@@ -14,8 +14,8 @@
 TEST(host_list, shows_a_change_only_after_its_lag)
 {
     hosts.set(live, at_ms(30));
-    LONGS_EQUAL(0, hosts.shown(at_ms(29)).at("hosts").size());
-    LONGS_EQUAL(1, hosts.shown(at_ms(30)).at("hosts").size());
+    LONGS_EQUAL(0, hosts.published(at_ms(29)).at("hosts").size());
+    LONGS_EQUAL(1, hosts.published(at_ms(30)).at("hosts").size());
     LONGS_EQUAL(1, hosts.actual().at("hosts").size());
 }
 
@@ -23,8 +23,8 @@
 {
     hosts.set(live, at_ms(0));
     hosts.remove("e1", at_ms(30));
-    LONGS_EQUAL(1, hosts.shown(at_ms(29)).at("hosts").size());
-    LONGS_EQUAL(0, hosts.shown(at_ms(30)).at("hosts").size());
+    LONGS_EQUAL(1, hosts.published(at_ms(29)).at("hosts").size());
+    LONGS_EQUAL(0, hosts.published(at_ms(30)).at("hosts").size());
 }
 
 TEST(host_list, fills_in_what_a_host_leaves_out)
