--- a/standins/src/engine_reports.hpp
+++ b/standins/src/engine_reports.hpp
@@ -60,10 +60,11 @@
 public:
     explicit version_table(const std::vector<std::string>& served);
 
-    // Whether an order with this fencing number is current: false if a higher one was seen before.
+    // Records the fencing number of an order. False if the number is stale, that is, a higher one
+    // was seen before.
     bool accept_fence(std::uint64_t number);
 
-    // The version is served from then on.
+    // Serves the version from `ready_at` on.
     void load(const std::string& version, decision::instant ready_at);
 
     void unload(const std::string& version);
--- a/standins/src/hosts_main.cpp
+++ b/standins/src/hosts_main.cpp
@@ -39,7 +39,7 @@
         this->control.update([](hosts_behaviours& present) { present.lag_ms = FLAGS_lag_ms; });
     }
 
-    // The hosts in the file are visible without the lag.
+    // Publishes the hosts in the file immediately, without the lag.
     void load(const std::string& file)
     {
         std::ifstream input(file);
--- a/standins/src/rater.hpp
+++ b/standins/src/rater.hpp
@@ -13,7 +13,7 @@
     std::uint64_t lag_ms = 0;
     double noise = 0;
     double gaps = 0;
-    std::string quality; // share of good answers per version, like `a=0.7,b=0.95`; empty: all
+    std::string quality; // share of good answers per version, like `a=0.7,b=0.95`; else 1
 };
 
 struct rated_answer {
--- a/standins/test/batch_scheduler_test.cpp
+++ b/standins/test/batch_scheduler_test.cpp
@@ -69,7 +69,7 @@
     LONGS_EQUAL(1, second->progress.tokens);
 }
 
-TEST(batch_scheduler, takes_a_queued_run_in_when_one_has_finished)
+TEST(batch_scheduler, admits_a_queued_run_when_one_has_finished)
 {
     const auto waiting = new_run(1);
     scheduler.submit(new_run(2));
@@ -176,7 +176,7 @@
     LONGS_EQUAL(0, running->progress.tokens);
 }
 
-TEST(batch_scheduler, makes_up_for_a_caller_that_is_a_little_late)
+TEST(batch_scheduler, catches_up_when_the_caller_is_slightly_late)
 {
     scheduler.submit(new_run(100));
     scheduler.advance(at_ms(0));
@@ -184,7 +184,7 @@
     CHECK_TRUE(*scheduler.advance(at_ms(1000)) == at_ms(1011)); // too late to catch up
 }
 
-TEST(batch_scheduler, takes_longer_steps_by_the_slow_factor)
+TEST(batch_scheduler, multiplies_the_step_duration_by_the_slow_factor)
 {
     scheduler.set_slow_factor(10);
     scheduler.submit(new_run(1));
--- a/standins/test/engine_test.cpp
+++ b/standins/test/engine_test.cpp
@@ -73,7 +73,7 @@
     CHECK_TRUE(served.find("r2") == nullptr);
 }
 
-TEST(engine, forgets_an_ended_run_after_a_while)
+TEST(engine, removes_an_ended_run_after_the_retention_time)
 {
     auto settings = quick_engine();
     settings.keep_runs = milliseconds(0);
--- a/standins/test/host_list_test.cpp
+++ b/standins/test/host_list_test.cpp
@@ -11,7 +11,7 @@
     const nlohmann::json live = complete_host({{"name", "e1"}, {"address", "127.0.0.1:1"}});
 };
 
-TEST(host_list, shows_a_change_only_after_its_lag)
+TEST(host_list, publishes_a_change_only_after_its_lag)
 {
     hosts.set(live, at_ms(30));
     LONGS_EQUAL(0, hosts.published(at_ms(29)).at("hosts").size());
@@ -19,7 +19,7 @@
     LONGS_EQUAL(1, hosts.actual().at("hosts").size());
 }
 
-TEST(host_list, goes_on_showing_a_removed_host_for_the_lag)
+TEST(host_list, keeps_publishing_a_removed_host_for_the_lag)
 {
     hosts.set(live, at_ms(0));
     hosts.remove("e1", at_ms(30));
--- a/standins/test/paced_buffer_test.cpp
+++ b/standins/test/paced_buffer_test.cpp
@@ -46,7 +46,7 @@
     CHECK_EQUAL(std::string("firstsecond"), take(at_ms(100)));
 }
 
-TEST(paced_buffer, spreads_bytes_over_the_time_that_the_rate_gives)
+TEST(paced_buffer, spreads_bytes_over_time_at_the_configured_rate)
 {
     buffer.push(std::string(4096, 'x'), {{}, 4096}, at_ms(0));
     LONGS_EQUAL(0, take(at_ms(249)).size());
--- a/standins/test/prefix_cache_test.cpp
+++ b/standins/test/prefix_cache_test.cpp
@@ -30,7 +30,7 @@
     const std::string other = std::string(2 * block_bytes, 'c');
 };
 
-TEST(prefix_cache, names_a_prefix_by_the_hash_of_its_bytes)
+TEST(prefix_cache, identifies_a_prefix_by_the_hash_of_its_bytes)
 {
     const auto hashes = blocks_of(two_blocks + "rest");
     LONGS_EQUAL(2, hashes.size());
--- a/standins/test/rate_limit_test.cpp
+++ b/standins/test/rate_limit_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(rate_limit){};
 
-TEST(rate_limit, lets_a_burst_in_and_then_the_rate)
+TEST(rate_limit, admits_a_burst_and_then_the_configured_rate)
 {
     rate_limit limit(1, 2);
     CHECK_TRUE(limit.take(at_ms(0)));
--- a/standins/test/rater_test.cpp
+++ b/standins/test/rater_test.cpp
@@ -20,13 +20,13 @@
     const std::string quality = "small=0.7,big=0.95";
 };
 
-TEST(rater, finds_an_answer_with_a_marked_token_not_good)
+TEST(rater, rates_an_answer_with_a_marked_token_bad)
 {
     CHECK_FALSE(is_good({"q", "big", "fine BADfine fine"}, ""));
     CHECK_TRUE(is_good({"q", "big", "fine"}, ""));
 }
 
-TEST(rater, finds_the_share_of_a_versions_answers_good_that_its_quality_names)
+TEST(rater, rates_the_configured_share_of_a_versions_answers_good)
 {
     int good = 0;
     for (int request = 0; request < requests; ++request) {
@@ -35,7 +35,7 @@
     DOUBLES_EQUAL(0.7, static_cast<double>(good) / requests, 0.04);
 }
 
-TEST(rater, finds_the_better_version_good_wherever_the_other_is)
+TEST(rater, rates_the_better_version_good_wherever_the_worse_one_is)
 {
     for (int request = 0; request < requests; ++request) {
         const bool small = is_good(answer_to(request, "small"), quality);
