--- a/standins/src/engine_reports.cpp
+++ b/standins/src/engine_reports.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr decision::duration finest_sample{5'000};
-constexpr std::size_t most_events = 10'000;
+constexpr std::size_t max_events = 10'000;
 
 } // namespace
 
@@ -48,7 +48,7 @@
             this->events.push_back({now + this->lag, each});
         }
     }
-    while (this->events.size() > most_events) {
+    while (this->events.size() > max_events) {
         this->events.pop_front();
     }
 }
@@ -72,7 +72,7 @@
     }
 }
 
-bool version_table::pass_fence(std::uint64_t number)
+bool version_table::accept_fence(std::uint64_t number)
 {
     if (number < this->highest_fence) {
         return false;
--- a/standins/src/engine_service.cpp
+++ b/standins/src/engine_service.cpp
@@ -46,7 +46,7 @@
     case admission::no_such_version:
         answer_not_run(exchange, 404, "no_such_version", "not served: " + request.version);
         return;
-    case admission::duplicate: // it may well have run, so there is no X-Not-Run
+    case admission::duplicate: // it may have run already, so X-Not-Run is not sent
         exchange.answer(409, error_body("duplicate_run", "known already: " + request.run));
         return;
     case admission::refused:
@@ -69,7 +69,7 @@
            path.substr(path.size() - resume_suffix.size()) == resume_suffix;
 }
 
-// Counts an answer as open for as long as it lives.
+// Counts an answer as open until destroyed.
 class open_answer {
 public:
     explicit open_answer(std::atomic<std::uint64_t>& counted_in) : open(counted_in)
@@ -93,20 +93,20 @@
         .add("crash_on", &engine_behaviours::crash_on,
              "text; the process exits at once (status 3) when a prompt that contains it starts")
         .add("freeze", &engine_behaviours::freeze,
-             "bool; no token goes out and no run goes on; connections stay open")
+             "bool; no token is sent and no run progresses; connections stay open")
         .add("silence_connections", &engine_behaviours::silence_connections,
-             "bool, once; streams open now go silent for good, their runs go on")
-        .add("slow_factor", &engine_behaviours::slow_factor, "each step takes that many times")
+             "bool, once; open streams go silent permanently, their runs continue")
+        .add("slow_factor", &engine_behaviours::slow_factor, "factor on the duration of each step")
         .add("bad", &engine_behaviours::bad, "bool; each token of new runs begins with BAD")
         .add("fail_rate", &engine_behaviours::fail_rate,
-             "0..1; that share of new runs, by hash of the run, is answered 500 after running")
+             "0..1; this share of new runs, by hash of the run, is answered 500 after running")
         .add("refuse", &engine_behaviours::refuse, "bool; new runs get 503 with X-Not-Run")
         .add("draining", &engine_behaviours::draining,
              "bool; new runs get 503 draining, shown in the load report")
         .add("truncate_after", &engine_behaviours::truncate_after,
              "once; the next stream that has sent N tokens is closed without its end; 0: off")
         .add("version", &engine_behaviours::version,
-             "text; bad and fail_rate hold for this version only; empty: for all");
+             "text; bad and fail_rate apply to this version only; empty: for all");
     return table;
 }
 
@@ -152,12 +152,12 @@
     this->served_engine.behave(wanted);
 }
 
-void engine_service::wait_for_answers(std::chrono::milliseconds bound) const
+void engine_service::wait_for_answers(std::chrono::milliseconds timeout) const
 {
-    constexpr std::chrono::milliseconds look_again{20};
-    const auto end = std::chrono::steady_clock::now() + bound;
+    constexpr std::chrono::milliseconds poll_period{20};
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (this->answers_open > 0 && std::chrono::steady_clock::now() < end) {
-        std::this_thread::sleep_for(look_again);
+        std::this_thread::sleep_for(poll_period);
     }
 }
 
@@ -184,7 +184,7 @@
 void engine_service::resume(web_exchange& exchange)
 {
     const auto run = this->served_engine.find(run_in_path(exchange.path()));
-    const bool known = run != nullptr && run->seen_progress().state != run_state::cancelled;
+    const bool known = run != nullptr && run->progress_snapshot().state != run_state::cancelled;
     if (!known || !ends_with_resume(exchange.path())) {
         answer_unknown_run(exchange);
         return;
@@ -200,7 +200,7 @@
         answer_unknown_run(exchange);
         return;
     }
-    const auto progress = run->seen_progress();
+    const auto progress = run->progress_snapshot();
     const char* state = progress.state == run_state::cancelled ? "cancelled" : "finished";
     exchange.answer(200, {{"state", state}, {"tokens", progress.tokens}});
 }
@@ -209,16 +209,16 @@
 {
     auto progress = run.wait_for_tokens(wanted);
     while (this->frozen) {
-        constexpr std::chrono::milliseconds look_again{20};
-        std::this_thread::sleep_for(look_again);
-        progress = run.seen_progress();
+        constexpr std::chrono::milliseconds poll_period{20};
+        std::this_thread::sleep_for(poll_period);
+        progress = run.progress_snapshot();
     }
     return progress;
 }
 
 run_progress engine_service::wait_for_end(live_run& run)
 {
-    auto progress = run.seen_progress();
+    auto progress = run.progress_snapshot();
     while (!has_ended(progress.state) || this->frozen) {
         progress = this->wait_unfrozen(run, run.request.max_tokens);
     }
@@ -247,7 +247,7 @@
 
 void engine_service::stream(web_exchange& exchange, live_run& run, std::uint64_t offset)
 {
-    if (run.outcome.fails) { // an error status can be sent only before a stream begins
+    if (run.outcome.fails) { // an error status can only be sent before the stream starts
         this->wait_for_end(run);
         answer_failed_run(exchange);
         return;
@@ -257,7 +257,7 @@
     }
 }
 
-// Sends the events from the offset to the end, or until the stream is given up.
+// Sends the events from the offset to the end, or until the stream is aborted.
 void engine_service::stream_tokens(web_exchange& exchange, live_run& run, std::uint64_t offset)
 {
     const auto silencings_before = this->silencings.load();
@@ -288,7 +288,7 @@
     }
 }
 
-// Where the tokens to send end: before `end` if the one truncation that was asked for falls there.
+// Index at which sending stops: before `end` if the requested one-time truncation falls there.
 std::uint64_t engine_service::take_truncation(std::uint64_t sent, std::uint64_t end)
 {
     auto wanted = this->truncate_after.load();
--- a/standins/src/hosts_main.cpp
+++ b/standins/src/hosts_main.cpp
@@ -31,7 +31,7 @@
     return table;
 }
 
-// The host list over HTTP.
+// Serves the host list over HTTP.
 class hosts_service {
 public:
     explicit hosts_service(unsigned threads) : control(hosts_behaviour_table()), holder(threads)
@@ -39,7 +39,7 @@
         this->control.update([](hosts_behaviours& present) { present.lag_ms = FLAGS_lag_ms; });
     }
 
-    // The hosts of the file are shown at once.
+    // Publishes the hosts in the file immediately, without the lag.
     void load(const std::string& file)
     {
         std::ifstream input(file);
@@ -83,7 +83,7 @@
             return;
         }
         const std::lock_guard guard(this->mutex);
-        exchange.answer(200, this->hosts.shown(standins::monotonic_now()));
+        exchange.answer(200, this->hosts.published(standins::monotonic_now()));
     }
 
     void set_all(const nlohmann::json& given, pearhaven::decision::instant seen_at)
@@ -124,7 +124,7 @@
 int main(int argc, char** argv)
 {
     standins::begin_program(argc, argv,
-                            "List of endpoint hosts that learns of changes late.\n"
+                            "List of endpoint hosts that publishes changes after a lag.\n"
                             "POST /control/set takes a host or a list of hosts, POST "
                             "/control/remove {\"name\"}.\n" +
                                 hosts_behaviour_table().help());
--- a/standins/src/kv_service.cpp
+++ b/standins/src/kv_service.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t longest_value = 1U << 20U;
-constexpr std::uint64_t longest_wait_ms = 120'000;
+constexpr std::size_t max_value_bytes = 1U << 20U;
+constexpr std::uint64_t max_wait_ms = 120'000;
 constexpr std::array<const char*, kv_call_kinds> call_names = {"get",   "range", "cas",   "delete",
                                                                "watch", "lease", "renew", "revoke"};
 
@@ -61,9 +61,9 @@
     table.add("outage", &kv_behaviours::outage, "bool; refuse every call with 503")
         .add("silent", &kv_behaviours::silent,
              "bool; hold every call without an answer; nothing is applied")
-        .add("delay_ms", &kv_behaviours::delay_ms, "wait before a call is looked at")
+        .add("delay_ms", &kv_behaviours::delay_ms, "wait before a call is processed")
         .add("reply_delay_ms", &kv_behaviours::reply_delay_ms,
-             "wait between a call's effect (or reading) and its answer")
+             "wait between a call's effect (or read) and its answer")
         .add("lose_reply_next", &kv_behaviours::lose_reply_next,
              "apply the next N cas and delete calls, but close their connections unanswered")
         .add("lose_reply_prefix", &kv_behaviours::lose_reply_prefix,
@@ -113,7 +113,7 @@
         const std::lock_guard guard(this->mutex);
         ++this->calls.at(static_cast<std::size_t>(kind));
         ++this->running;
-        this->most_running = std::max(this->most_running, this->running);
+        this->peak_running = std::max(this->peak_running, this->running);
     }
     const auto behaviours = this->control.get();
     if (behaviours.silent) {
@@ -164,8 +164,8 @@
     const auto value = body.at("value").get<std::string>();
     const auto expected = body.value("expected", std::uint64_t{0});
     const auto lease = body.value("lease", std::uint64_t{0});
-    if (value.size() > longest_value) {
-        exchange.answer(413, {{"error", "value too long"}, {"limit", longest_value}});
+    if (value.size() > max_value_bytes) {
+        exchange.answer(413, {{"error", "value too long"}, {"limit", max_value_bytes}});
         return;
     }
     std::unique_lock lock(this->mutex);
@@ -225,18 +225,18 @@
     sleep_ms(this->control.get().reply_delay_ms);
 }
 
-// A watch that waits when an outage begins is left to end quietly: no change reaches it meanwhile,
-// since writes are refused.
+// A watch in progress when an outage begins may end normally: it cannot see a change during the
+// outage, because writes are refused.
 void kv_service::watch(web_exchange& exchange)
 {
     const auto prefix = exchange.query("prefix").value_or("");
     const auto after = exchange.query_number("after", 0);
-    const auto wait_ms = std::min(exchange.query_number("wait_ms", 0), longest_wait_ms);
+    const auto wait_ms = std::min(exchange.query_number("wait_ms", 0), max_wait_ms);
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(wait_ms);
 
     std::unique_lock lock(this->mutex);
     ++this->waiting_watches;
-    this->most_waiting_watches = std::max(this->most_waiting_watches, this->waiting_watches);
+    this->peak_waiting_watches = std::max(this->peak_waiting_watches, this->waiting_watches);
     std::vector<kv_record> found;
     this->changed.wait_until(lock, end, [&] {
         found = this->state.changes_after(prefix, after);
@@ -259,7 +259,7 @@
     std::unique_lock lock(this->mutex);
     const auto lease = this->state.grant_lease(ttl, monotonic_now());
     lock.unlock();
-    this->changed.notify_all(); // the expirer has a new end to wait for
+    this->changed.notify_all(); // the expirer has a new expiry time to wait for
     this->delay_reply();
     exchange.answer(200, {{"lease", lease}});
 }
@@ -296,8 +296,8 @@
                           {"refused", this->refused},
                           {"lost_replies", this->lost_replies},
                           {"waiting_watches", this->waiting_watches},
-                          {"most_waiting_watches", this->most_waiting_watches},
-                          {"highest_concurrency", this->most_running},
+                          {"most_waiting_watches", this->peak_waiting_watches},
+                          {"highest_concurrency", this->peak_running},
                           {"leases", this->state.lease_count()},
                           {"revision", this->state.revision()}});
 }
--- a/standins/src/proxied_connection.cpp
+++ b/standins/src/proxied_connection.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::size_t read_size = 65536;
 
-// Reading stops while more than this is held back, so that the sender feels it.
-constexpr std::size_t most_held = 4 * read_size;
+// Reading stops while more than this is buffered, so that the sender sees backpressure.
+constexpr std::size_t max_buffered = 4 * read_size;
 
 bool would_block()
 {
@@ -47,13 +47,13 @@
         return true;
     }
     if ((events & EPOLLERR) != 0) {
-        return this->break_off(side, faults);
+        return this->on_socket_failure(side, faults);
     }
     if (side == proxy_side::server && (events & EPOLLOUT) != 0) {
         this->connected = true;
     }
     if ((events & (EPOLLIN | EPOLLHUP)) != 0 && !this->read_from(side, faults, now)) {
-        return this->break_off(side, faults);
+        return this->on_socket_failure(side, faults);
     }
     return this->flush(faults, now);
 }
@@ -72,7 +72,7 @@
     }
     if (length == 0) {
         flow.ended = true;
-        flow.passed_end = flow.passed_end || swallowed; // the end is swallowed too
+        flow.end_forwarded = flow.end_forwarded || swallowed; // the end is discarded as well
     } else if (!swallowed) {
         flow.buffer.push({bytes.data(), static_cast<std::size_t>(length)}, faults.paced, now);
     }
@@ -85,10 +85,10 @@
         return true;
     }
     if (!this->write_to(proxy_side::client, faults, now)) {
-        return this->break_off(proxy_side::client, faults);
+        return this->on_socket_failure(proxy_side::client, faults);
     }
     if (this->connected && !this->write_to(proxy_side::server, faults, now)) {
-        return this->break_off(proxy_side::server, faults);
+        return this->on_socket_failure(proxy_side::server, faults);
     }
     return !this->is_over();
 }
@@ -113,25 +113,25 @@
         flow.moved += static_cast<std::uint64_t>(sent);
         flow.counted += static_cast<std::uint64_t>(sent);
         if (limit > 0 && flow.counted >= limit) {
-            sink.socket.close(); // an orderly end in the wrong place, not a reset
+            sink.socket.close(); // an orderly shutdown in mid-stream, not a reset
             return false;
         }
     }
-    pass_end(sink, flow);
+    forward_end(sink, flow);
     return true;
 }
 
-void proxied_connection::pass_end(socket_end& sink, byte_flow& from)
+void proxied_connection::forward_end(socket_end& sink, byte_flow& from)
 {
-    if (from.ended && !from.passed_end && from.buffer.empty()) {
-        from.passed_end = true;
+    if (from.ended && !from.end_forwarded && from.buffer.empty()) {
+        from.end_forwarded = true;
         ::shutdown(sink.socket.get(), SHUT_WR);
     }
 }
 
-// The other side learns of it, unless what comes from the broken side is swallowed: then it is left
-// with a connection on which nothing happens any more.
-bool proxied_connection::break_off(proxy_side broken, const proxy_faults& faults)
+// Propagates the failure to the other side, unless the broken side's direction is swallowed: then
+// the other side keeps an open connection on which nothing more arrives.
+bool proxied_connection::on_socket_failure(proxy_side broken, const proxy_faults& faults)
 {
     const bool swallowed =
         broken == proxy_side::client ? faults.swallow_to_server : faults.swallow_to_client;
@@ -145,7 +145,7 @@
 
 bool proxied_connection::is_over() const
 {
-    return this->to_server.passed_end && this->to_client.passed_end;
+    return this->to_server.end_forwarded && this->to_client.end_forwarded;
 }
 
 void proxied_connection::reset()
@@ -171,7 +171,7 @@
 {
     const bool connecting = end.side == proxy_side::server && !this->connected;
     std::uint32_t events = 0;
-    if (!in.ended && in.buffer.size() < most_held) {
+    if (!in.ended && in.buffer.size() < max_buffered) {
         events |= EPOLLIN;
     }
     if (connecting || !out.buffer.ready(now).empty()) {
@@ -191,8 +191,8 @@
     this->set_watched(this->server, server_events);
 }
 
-// A socket with nothing to wait for is taken out of the set: epoll would report its errors and its
-// end over and over otherwise.
+// A socket with nothing to wait for is removed from the epoll set; otherwise epoll would report its
+// errors and hang-up repeatedly.
 void proxied_connection::set_watched(socket_end& end, std::uint32_t events) const
 {
     if (end.watched == events || !end.socket.is_open()) {
--- a/standins/test/batch_scheduler_test.cpp
+++ b/standins/test/batch_scheduler_test.cpp
@@ -40,7 +40,7 @@
 {
     batch_scheduler scheduler{small_engine()};
 
-    // Lets the time pass in steps of the batch until nothing is left to do. Returns the end.
+    // Advances the time step by step until the scheduler is idle. Returns the end time.
     pearhaven::decision::instant finish_all(pearhaven::decision::instant now)
     {
         while (const auto next = this->scheduler.advance(now)) {
@@ -69,7 +69,7 @@
     LONGS_EQUAL(1, second->progress.tokens);
 }
 
-TEST(batch_scheduler, takes_a_queued_run_in_when_one_has_finished)
+TEST(batch_scheduler, admits_a_queued_run_when_one_has_finished)
 {
     const auto waiting = new_run(1);
     scheduler.submit(new_run(2));
@@ -81,7 +81,7 @@
     CHECK_TRUE(waiting->progress.state == run_state::running);
 }
 
-TEST(batch_scheduler, takes_the_most_urgent_run_first_and_else_the_eldest)
+TEST(batch_scheduler, takes_the_most_urgent_run_first_then_the_oldest)
 {
     scheduler.submit(new_run(1));
     scheduler.submit(new_run(1));
@@ -118,8 +118,8 @@
     CHECK_TRUE(run->progress.state == run_state::finished);
 }
 
-// A long prompt in the batch slows down the tokens of the run beside it: the effect that a router
-// has to keep long readings and quick lookups apart for.
+// A long prompt in the batch slows down the other runs' tokens. Because of this effect, a router
+// has to separate long prefills from short requests.
 TEST(batch_scheduler, slows_the_batch_down_while_a_prompt_is_read)
 {
     scheduler.submit(new_run(10));
@@ -145,7 +145,7 @@
     LONGS_EQUAL(32, second->progress.cached_tokens);
 }
 
-TEST(batch_scheduler, holds_no_more_than_its_memory)
+TEST(batch_scheduler, never_exceeds_its_memory)
 {
     auto settings = small_engine();
     settings.kv_tokens = 100;
@@ -176,15 +176,15 @@
     LONGS_EQUAL(0, running->progress.tokens);
 }
 
-TEST(batch_scheduler, makes_up_for_a_caller_that_is_a_little_late)
+TEST(batch_scheduler, catches_up_when_the_caller_is_slightly_late)
 {
     scheduler.submit(new_run(100));
     scheduler.advance(at_ms(0));
     CHECK_TRUE(*scheduler.advance(at_ms(15)) == at_ms(22));
-    CHECK_TRUE(*scheduler.advance(at_ms(1000)) == at_ms(1011)); // not for one that was away
+    CHECK_TRUE(*scheduler.advance(at_ms(1000)) == at_ms(1011)); // too late to catch up
 }
 
-TEST(batch_scheduler, takes_longer_steps_by_the_slow_factor)
+TEST(batch_scheduler, multiplies_the_step_duration_by_the_slow_factor)
 {
     scheduler.set_slow_factor(10);
     scheduler.submit(new_run(1));
@@ -197,13 +197,13 @@
         batch_scheduler engine(small_engine());
         auto now = at_ms(0);
         std::vector<run_pointer> taken;
-        std::uint64_t owed = 0;
+        std::uint64_t expected_tokens = 0;
         for (const auto tokens : *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, 9))) {
             const auto run = new_run(static_cast<std::uint64_t>(tokens), *rc::gen::inRange(0U, 9U),
                                      *rc::gen::inRange(0U, 300U));
             if (engine.submit(run)) {
                 taken.push_back(run);
-                owed += run->work.max_tokens;
+                expected_tokens += run->work.max_tokens;
             }
             now = engine.advance(now).value_or(now);
             RC_ASSERT(engine.load().running <= 2U);
@@ -215,7 +215,7 @@
             RC_ASSERT(run->progress.state == run_state::finished);
             RC_ASSERT(run->progress.tokens == run->work.max_tokens);
         }
-        RC_ASSERT(engine.counts().tokens == owed);
+        RC_ASSERT(engine.counts().tokens == expected_tokens);
         RC_ASSERT(engine.load().kv_used == 0.0);
     });
 }
